--- a/fleet/src/clients.rs
+++ b/fleet/src/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::Experiment;
 use crate::random::Random;
-use doorcourse::Name;
+use ryefront_policy::Name;
 use std::f64::consts::TAU;
 
 /// One tenant.
--- a/fleet/src/counter.rs
+++ b/fleet/src/counter.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment;
 use crate::random::Random;
-use doorcourse::CountOutcome;
+use ryefront_policy::CounterResult;
 use std::collections::HashMap;
 
 /// Names that have run out are dropped after so many calls.
@@ -12,7 +12,7 @@
 
 /// How a call went: its outcome and when the counter was done with it, µs.
 pub(crate) struct Served {
-    pub(crate) outcome: CountOutcome,
+    pub(crate) outcome: CounterResult,
     pub(crate) done: u64,
 }
 
@@ -60,7 +60,7 @@
         let start = self.free_at[part].max(now);
         if start - now > self.longest_wait {
             self.turned_away += 1;
-            return Served { outcome: CountOutcome::NotAdded, done: now };
+            return Served { outcome: CounterResult::NotAdded, done: now };
         }
         self.free_at[part] = start + self.pace;
         let count = self.counts.entry(name).or_insert(Count { total: 0.0, ends: 0 });
@@ -70,6 +70,6 @@
         count.total += amount;
         // No call takes the same time as the one before.
         let done = start + (self.pace as f64 * random.exponential().min(8.0)) as u64;
-        Served { outcome: CountOutcome::Total(count.total), done }
+        Served { outcome: CounterResult::Total(count.total), done }
     }
 }
--- a/fleet/src/discovery.rs
+++ b/fleet/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: the lists it writes, as text in the form that gateways read, and the changes it gathers.
 
-use doorcourse::BackendState;
-use fennelscale::discovery::{List, ListError};
+use ryefront_gateway::discovery::{List, ListError};
+use ryefront_policy::EndpointState;
 use std::fmt::Write;
 
 /// One row of a list.
@@ -10,7 +10,7 @@
     pub(crate) server: u32,
     pub(crate) zone: u32,
     pub(crate) cell: u64,
-    pub(crate) state: BackendState,
+    pub(crate) state: EndpointState,
     /// When it started, ms; 0 for long ago.
     pub(crate) started: f64,
 }
@@ -35,9 +35,9 @@
     let mut text = format!("{{\"seq\":{seq},\"whole\":{whole},\"hosts\":[");
     for (n, row) in rows.into_iter().enumerate() {
         let health = match row.state {
-            BackendState::Ready => "in_service",
-            BackendState::Draining => "terminating",
-            BackendState::Gone => "terminated",
+            EndpointState::Ready => "in_service",
+            EndpointState::Draining => "terminating",
+            EndpointState::Removed => "terminated",
         };
         let [_, a, b, c] = row.server.to_be_bytes();
         let comma = if n > 0 { "," } else { "" };
--- a/fleet/src/experiment.rs
+++ b/fleet/src/experiment.rs
@@ -1,7 +1,7 @@
 //! The file that says what to play: its form and its checks. Every key must be there unless it says otherwise, and
 //! no other key may be.
 
-use doorcourse::{Effect, Group};
+use ryefront_policy::{DedupScope, Idempotency};
 use serde::Deserialize;
 use std::ops::Range;
 use std::path::{Path, PathBuf};
@@ -266,20 +266,20 @@
 
 impl Class {
     /// The class as gateways are told of it.
-    pub(crate) fn of_settings(&self) -> doorcourse::Class {
+    pub(crate) fn of_settings(&self) -> ryefront_policy::RequestClass {
         let effect = match self.effect {
-            Repeats::Safe => Effect::Safe,
-            Repeats::Keyed => Effect::Keyed,
-            Repeats::Unsafe => Effect::Unsafe,
+            Repeats::Safe => Idempotency::Idempotent,
+            Repeats::Keyed => Idempotency::WithKey,
+            Repeats::Unsafe => Idempotency::NonIdempotent,
         };
-        doorcourse::Class {
+        ryefront_policy::RequestClass {
             name: self.name.as_str().into(),
-            aim: self.aim_ms,
-            effect,
-            group: Group::Zone,
-            memory: self.window_ms,
-            worth: self.worth,
-            late_worth: 0.0,
+            latency_objective: self.aim_ms,
+            idempotency: effect,
+            dedup_scope: DedupScope::Zone,
+            dedup_window: self.window_ms,
+            priority_weight: self.worth,
+            late_weight_fraction: 0.0,
         }
     }
 }
--- a/fleet/src/gateways.rs
+++ b/fleet/src/gateways.rs
@@ -2,8 +2,8 @@
 
 use crate::discovery::{Batch, zone_name};
 use crate::experiment::Experiment;
-use doorcourse::{Event, Gateway, Plan, Reports, Settings, SettingsError};
-use fennelscale::backends::Backends;
+use ryefront_gateway::endpoints::EndpointRegistry;
+use ryefront_policy::{Event, LoadReportSource, PolicyEngine, QuotaPlan, Settings, SettingsError};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,54 +15,59 @@
 /// What a gateway of an experiment is told at its start.
 pub(crate) fn settings(experiment: &Experiment, gateways: u32, number: u32, zone: u32) -> Settings {
     let (load, servers) = (&experiment.load, &experiment.servers);
-    let plan = |p: &crate::experiment::Plan| Plan {
+    let plan = |p: &crate::experiment::Plan| QuotaPlan {
         name: p.name.as_str().into(),
         rate: p.rate,
         burst: p.rate * p.burst_s,
-        open: 0,
+        max_in_flight: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
-        price: 1.0,
-        over_worth: p.over_worth,
-        over_cost: p.over_cost,
+        weight_factor: 1.0,
+        over_quota_weight: p.over_worth,
+        over_quota_cost: p.over_cost,
     };
     Settings {
-        gateways,
-        number,
+        gateway_count: gateways,
+        gateway_index: number,
         zone: zone_name(zone).into(),
         tick: 1.0,
         classes: experiment.class.iter().map(|c| c.of_settings()).collect(),
         plans: experiment.plan.iter().map(plan).collect(),
-        counter: true,
+        has_counter: true,
         counter_timeout: experiment.counter.timeout_ms,
-        settles: false,
-        most_units: load.units[1].into(),
-        reports: Reports::Answers,
-        probes: false,
-        peers: false,
-        cancel: true,
-        list_on_request: false,
+        settles_usage: false,
+        max_units: load.units[1].into(),
+        load_report_source: LoadReportSource::Responses,
+        health_checks: false,
+        gossip: false,
+        cancellation: true,
+        polls_endpoints: false,
         connect_timeout: CONNECT_TIMEOUT_MS,
-        most_attempts: 6,
-        longest_advice: load.longest_advice_ms,
-        cold_share: servers.cold_share,
-        cold_time: servers.cold_s * 1000.0,
-        fall_multiple: servers.fall_multiple,
-        fall_time: servers.fall_s * 1000.0,
-        price_cross_zone: 0.01,
+        max_attempts: 6,
+        max_retry_after: load.longest_advice_ms,
+        slow_start_initial_fraction: servers.cold_share,
+        slow_start_duration: servers.cold_s * 1000.0,
+        overload_factor: servers.fall_multiple,
+        overload_window: servers.fall_s * 1000.0,
+        cross_zone_cost: 0.01,
     }
 }
 
 /// The real table of connections, with none.
-pub(crate) fn table(idle: Duration) -> Rc<Backends> {
-    Backends::new(Duration::from_secs_f64(CONNECT_TIMEOUT_MS / 1000.0), idle, Reports::Answers, SOCKETS)
+pub(crate) fn table(idle: Duration) -> Rc<EndpointRegistry> {
+    EndpointRegistry::new(
+        Duration::from_secs_f64(CONNECT_TIMEOUT_MS / 1000.0),
+        idle,
+        LoadReportSource::Responses,
+        SOCKETS,
+    )
 }
 
 /// One gateway.
 pub(crate) struct Host {
-    pub(crate) gateway: Gateway,
-    table: Option<Rc<Backends>>,
+    pub(crate) gateway: PolicyEngine,
+    table: Option<Rc<EndpointRegistry>>,
     /// Counted over all regions.
     pub(crate) zone: u32,
     /// When it took each list in, µs.
@@ -75,10 +80,10 @@
 
 impl Host {
     pub(crate) fn new(
-        settings: Settings, zone: u32, seed: u64, table: Option<Rc<Backends>>,
+        settings: Settings, zone: u32, seed: u64, table: Option<Rc<EndpointRegistry>>,
     ) -> Result<Self, SettingsError> {
         Ok(Self {
-            gateway: Gateway::new(settings, seed)?,
+            gateway: PolicyEngine::new(settings, seed)?,
             table,
             zone,
             heard: Vec::new(),
@@ -100,7 +105,7 @@
             table.update(&batch.list);
         }
         let entries = batch.list.hosts.iter().map(|h| h.entry.clone()).collect();
-        if batch.list.whole { Event::BackendList(entries) } else { Event::BackendChanges(entries) }
+        if batch.list.whole { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) }
     }
 
     /// Whether there is a free connection to a server, which is then busy.
--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, ValueEnum)]
 enum Weighed {
     Tenants,
-    Backends,
+    Endpoints,
 }
 
 /// A file or option that cannot be used.
@@ -78,7 +78,7 @@
         Command::Slopes { json } => measure(json),
         Command::Run { file, seed, gateways, out } => play(&file, seed, gateways, out.as_deref()),
         Command::Weigh { load, size } => {
-            let load = if let Weighed::Tenants = load { Load::Tenants } else { Load::Backends };
+            let load = if let Weighed::Tenants = load { Load::Tenants } else { Load::Endpoints };
             slopes::weigh(load, size).map(|bytes| println!("{bytes}")).map_err(Into::into)
         }
         .map(|()| ExitCode::SUCCESS),
@@ -92,7 +92,7 @@
 fn measure(json: bool) -> Result<ExitCode, Box<dyn Error>> {
     let this = std::env::current_exe()?;
     let weigh = |load, size: usize| {
-        let load = if load == Load::Tenants { "tenants" } else { "backends" };
+        let load = if load == Load::Tenants { "tenants" } else { "endpoints" };
         let output = process::Command::new(&this).args(["weigh", load, &size.to_string()]).output()?;
         let bytes = String::from_utf8_lossy(&output.stdout).trim().parse();
         bytes.map_err(|_| SlopesError::Io(io::Error::other(String::from_utf8_lossy(&output.stderr))))
--- a/fleet/src/slopes.rs
+++ b/fleet/src/slopes.rs
@@ -6,14 +6,14 @@
 
 use crate::discovery::{Row, text};
 use crate::gateways::table;
-use doorcourse::{
-    Action, Arrival, AttemptEnd, BackendState, Class, CountOutcome, Effect, Event, Gateway, Group, Millis,
-    Name, Outcome, Plan, Reports, Settings, SettingsError,
+use ryefront_gateway::backoff::Pace;
+use ryefront_gateway::discovery::{List, ListError, watch};
+use ryefront_gateway::endpoints::EndpointRegistry;
+use ryefront_gateway::engine::Engine;
+use ryefront_policy::{
+    Action, Arrival, AttemptEnd, CounterResult, DedupScope, EndpointState, Event, Idempotency,
+    LoadReportSource, Millis, Name, Outcome, PolicyEngine, QuotaPlan, RequestClass, Settings, SettingsError,
 };
-use fennelscale::backends::Backends;
-use fennelscale::backoff::Pace;
-use fennelscale::discovery::{List, ListError, watch};
-use fennelscale::engine::Engine;
 use serde::Serialize;
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -73,8 +73,8 @@
 pub enum Load {
     /// Tenants that a gateway holds.
     Tenants,
-    /// Backends that a gateway knows, with no connection to any.
-    Backends,
+    /// Endpoints that a gateway knows, with no connection to any.
+    Endpoints,
 }
 
 /// Figures that cannot be measured.
@@ -195,44 +195,44 @@
 
 /// Settings with quotas that a gateway holds a lease of, and so many routes.
 fn settings(gateways: u32, routes: usize) -> Settings {
-    let class = |n| Class {
+    let class = |n| RequestClass {
         name: route(n),
-        aim: 1000.0,
-        effect: Effect::Safe,
-        group: Group::All,
-        memory: 0.0,
-        worth: 1.0,
-        late_worth: 0.0,
+        latency_objective: 1000.0,
+        idempotency: Idempotency::Idempotent,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0.0,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.0,
     };
-    let plan = Plan {
+    let plan = QuotaPlan {
         name: "plan".into(),
         rate: 1000.0,
         burst: 10_000.0,
-        open: 0,
+        max_in_flight: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        weight_factor: 1.0,
+        over_quota_weight: 0.0,
+        over_quota_cost: 1.0,
     };
     Settings {
-        gateways,
+        gateway_count: gateways,
         zone: "zone-0".into(),
         tick: 1.0,
         classes: (0..routes).map(class).collect(),
         plans: vec![plan],
-        counter: true,
+        has_counter: true,
         counter_timeout: 30.0,
-        reports: Reports::Answers,
+        load_report_source: LoadReportSource::Responses,
         connect_timeout: 250.0,
-        most_attempts: 6,
-        longest_advice: 1000.0,
-        cold_share: 0.35,
-        cold_time: 10_000.0,
-        fall_multiple: 2.5,
-        fall_time: 1000.0,
-        price_cross_zone: 0.01,
+        max_attempts: 6,
+        max_retry_after: 1000.0,
+        slow_start_initial_fraction: 0.35,
+        slow_start_duration: 10_000.0,
+        overload_factor: 2.5,
+        overload_window: 1000.0,
+        cross_zone_cost: 0.01,
         ..Settings::default()
     }
 }
@@ -245,18 +245,18 @@
     format!("{number:016x}").into()
 }
 
-fn row(server: usize, state: BackendState, started: Millis) -> Row {
+fn row(server: usize, state: EndpointState, started: Millis) -> Row {
     Row { server: server as u32, zone: server as u32 % 6, cell: server as u64 / 24, state, started }
 }
 
 fn whole(servers: usize) -> String {
-    text(1, true, &(0..servers).map(|n| row(n, BackendState::Ready, 0.0)).collect::<Vec<_>>())
+    text(1, true, &(0..servers).map(|n| row(n, EndpointState::Ready, 0.0)).collect::<Vec<_>>())
 }
 
 /// The real decisions and the real table of connections, with a clock of their own.
 struct Subject {
-    gateway: Gateway,
-    table: Rc<Backends>,
+    gateway: PolicyEngine,
+    table: Rc<EndpointRegistry>,
     now: Millis,
     last: u64,
     counts: HashMap<u64, f64>,
@@ -265,7 +265,7 @@
 impl Subject {
     fn new(gateways: u32, routes: usize) -> Result<Self, SettingsError> {
         Ok(Self {
-            gateway: Gateway::new(settings(gateways, routes), 7)?,
+            gateway: PolicyEngine::new(settings(gateways, routes), 7)?,
             table: table(Duration::from_secs(15)),
             now: 1e9,
             last: 0,
@@ -286,28 +286,28 @@
         let list = List::parse(text.as_bytes())?;
         self.table.update(&list);
         let entries = list.hosts.into_iter().map(|h| h.entry).collect();
-        let event = if list.whole { Event::BackendList(entries) } else { Event::BackendChanges(entries) };
+        let event = if list.whole { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) };
         self.gateway.handle(self.now, event, &mut Vec::new());
         Ok(begun.elapsed())
     }
 
     /// One request from its arrival to its end, its counter calls and its attempt answered at once: how long the
     /// decisions took, and how many counter calls it led to. It must be sent, or it is no request to measure.
-    fn request(&mut self, customer: &Name, class: &Name) -> Result<(Duration, usize), SlopesError> {
+    fn request(&mut self, tenant: &Name, class: &Name) -> Result<(Duration, usize), SlopesError> {
         self.last += 1;
         let arrival = Arrival {
             id: self.last,
-            customer: customer.clone(),
+            tenant: tenant.clone(),
             plan: "plan".into(),
             class: class.clone(),
             units: 1.0,
-            repeat: false,
-            patience: 3000.0,
-            first: 0,
-            spread: 1,
+            client_retry: false,
+            time_to_deadline: 3000.0,
+            first_gateway: 0,
+            gateways_per_tenant: 1,
         };
         let (mut took, mut calls, mut sends) = (Duration::ZERO, 0, 0);
-        let mut events = vec![Event::Request(arrival)];
+        let mut events = vec![Event::RequestArrived(arrival)];
         let mut actions = Vec::new();
         while let Some(event) = events.pop() {
             let begun = Instant::now();
@@ -315,25 +315,25 @@
             took += begun.elapsed();
             for action in actions.drain(..) {
                 match action {
-                    Action::Send { id, backend, .. } => {
+                    Action::ForwardAttempt { id, endpoint, .. } => {
                         sends += 1;
                         events.push(Event::AttemptEnded(AttemptEnd {
                             id,
                             attempt: 0,
-                            backend,
+                            endpoint,
                             outcome: Outcome::Served,
                             latency: 80.0,
-                            true_units: None,
-                            finished: true,
-                            load: None,
+                            actual_units: None,
+                            request_finished: true,
+                            load_report: None,
                         }));
                     }
-                    Action::Count { name, amount, .. } => {
+                    Action::IncrementCounter { key: name, amount, .. } => {
                         calls += 1;
                         let total = self.counts.entry(name).or_default();
                         *total += amount;
-                        let outcome = CountOutcome::Total(*total);
-                        events.push(Event::Counted { name, outcome, latency: 1.0 });
+                        let outcome = CounterResult::Total(*total);
+                        events.push(Event::CounterReply { key: name, result: outcome, latency: 1.0 });
                     }
                     _ => {}
                 }
@@ -386,7 +386,7 @@
 /// # Errors
 /// When the memory cannot be read or the real code does not take what it is given.
 pub fn weigh(load: Load, size: usize) -> Result<u64, SlopesError> {
-    let text = if load == Load::Backends { whole(size) } else { whole(1) };
+    let text = if load == Load::Endpoints { whole(size) } else { whole(1) };
     let mut subject = Subject::new(gateways(size), 1)?;
     let before = resident()?;
     subject.take_in(&text)?;
@@ -399,11 +399,11 @@
 /// What one request's decisions take before so many servers.
 fn decisions(servers: usize, gateways: u32, measured_for: Duration) -> Result<f64, SlopesError> {
     let mut subject = Subject::knowing(servers, gateways, 1)?;
-    let (customer, class) = (tenant(1), route(0));
-    subject.request(&customer, &class)?;
+    let (tenant, class) = (tenant(1), route(0));
+    subject.request(&tenant, &class)?;
     median(measured_for, || {
         subject.now += GAP;
-        Ok(subject.request(&customer, &class)?.0)
+        Ok(subject.request(&tenant, &class)?.0)
     })
 }
 
@@ -413,7 +413,7 @@
     let rows: Vec<_> = (0..TOUCHED)
         .map(|n| {
             let drains = n / half == round % 2;
-            row(n * 7, if drains { BackendState::Draining } else { BackendState::Ready }, 0.0)
+            row(n * 7, if drains { EndpointState::Draining } else { EndpointState::Ready }, 0.0)
         })
         .collect();
     text(round as u64 + 2, false, &rows)
@@ -465,11 +465,11 @@
     tracing::info!("routes");
     let routes = each(&sizes.routes, &|n| {
         let mut subject = Subject::knowing(1, 1, n)?;
-        let (customer, classes): (_, Vec<_>) = (tenant(1), (0..64).map(|i| route(i * n / 64)).collect());
+        let (tenant, classes): (_, Vec<_>) = (tenant(1), (0..64).map(|i| route(i * n / 64)).collect());
         let mut turn = 0;
         median(measured_for, || {
             turn += 1;
-            Ok(subject.request(&customer, &classes[turn % classes.len()])?.0)
+            Ok(subject.request(&tenant, &classes[turn % classes.len()])?.0)
         })
     })?;
     slopes.push(Slope::fitted("one request's decisions, routes", "us", "routes", routes, ROUTES as f64));
@@ -516,7 +516,7 @@
             Ok(subject.request(&tenant(1), &route(0))?.0)
         })
     })?);
-    slopes.push(servers("sweep, backends known", "us", &|n| {
+    slopes.push(servers("sweep, endpoints known", "us", &|n| {
         let mut subject = Subject::knowing(n, gateways(n), 1)?;
         median(measured_for, || Ok(subject.sweep()))
     })?);
@@ -538,8 +538,8 @@
     slopes.push(tenants("a gateway with so many tenants held", "bytes", &|n| {
         Ok(weigh(Load::Tenants, n)? as f64)
     })?);
-    slopes.push(servers("a gateway with so many idle backends", "bytes", &|n| {
-        Ok(weigh(Load::Backends, n)? as f64)
+    slopes.push(servers("a gateway with so many idle endpoints", "bytes", &|n| {
+        Ok(weigh(Load::Endpoints, n)? as f64)
     })?);
     Ok(slopes)
 }
@@ -554,7 +554,7 @@
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let (_address, place) = tokio::sync::watch::channel(listener.local_addr()?);
         let table = table(Duration::from_secs(15));
-        let settings = Settings { counter: false, ..settings(gateways(servers), 1) };
+        let settings = Settings { has_counter: false, ..settings(gateways(servers), 1) };
         let engine = Engine::start(settings, 7, table.clone(), None)?;
         let pace = Pace::of(false, Duration::ZERO);
         tokio::task::spawn_local(watch(place, 0, 7, pace, table, engine));
--- a/fleet/src/world.rs
+++ b/fleet/src/world.rs
@@ -9,11 +9,11 @@
 use crate::random::Random;
 use crate::report::{Reason, Report, Scaled, Tally};
 use crate::servers::{Job, Life, Servers};
-use doorcourse::{
-    Action, Arrival, AttemptEnd, BackendState, CountOutcome, Event, LoadReport, Millis, Name, Outcome,
+use ryefront_gateway::discovery::ListError;
+use ryefront_policy::{
+    Action, Arrival, AttemptEnd, CounterResult, EndpointState, Event, LoadReport, Millis, Name, Outcome,
     SettingsError,
 };
-use fennelscale::discovery::ListError;
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Duration;
 
@@ -58,7 +58,7 @@
     /// A call reaches the counter.
     Call { gateway: u32, name: u64, amount: f64, keep: Millis, made: u64 },
     /// How a counter call ended reaches its gateway.
-    Counted { gateway: u32, name: u64, outcome: CountOutcome, made: u64 },
+    Counted { gateway: u32, name: u64, outcome: CounterResult, made: u64 },
     /// Discovery writes what has changed.
     Gather,
     /// A list reaches a gateway.
@@ -177,12 +177,12 @@
     Event::AttemptEnded(AttemptEnd {
         id,
         attempt: out.number,
-        backend: out.name,
+        endpoint: out.name,
         outcome,
         latency: latency as f64 / 1000.0,
-        true_units: None,
-        finished,
-        load: queue.map(|queue| LoadReport { queue: Some(queue), ..LoadReport::default() }),
+        actual_units: None,
+        request_finished: finished,
+        load_report: queue.map(|queue| LoadReport { queue_length: Some(queue), ..LoadReport::default() }),
     })
 }
 
@@ -231,7 +231,7 @@
             tally: Tally::new(),
             servers,
         };
-        let rows: Vec<Row> = (0..count).map(|n| world.row(n, BackendState::Ready)).collect();
+        let rows: Vec<Row> = (0..count).map(|n| world.row(n, EndpointState::Ready)).collect();
         let place = world.discovery.whole(&rows)?;
         for gateway in 0..gateways {
             let at = draw.below(STARTS as usize) as u64;
@@ -261,7 +261,7 @@
         EPOCH + self.now as f64 / 1000.0
     }
 
-    fn row(&self, server: u32, state: BackendState) -> Row {
+    fn row(&self, server: u32, state: EndpointState) -> Row {
         let known = &self.servers.all[server as usize];
         let started = known.started.map_or(0.0, |at| EPOCH + at as f64 / 1000.0);
         Row { server, zone: known.zone, cell: known.cell, state, started }
@@ -322,7 +322,11 @@
                 }
                 Happening::Counted { gateway, name, outcome, made } => {
                     let latency = (self.now - made) as f64 / 1000.0;
-                    self.tell(gateway, Event::Counted { name, outcome, latency }, Reason::OnTotal);
+                    self.tell(
+                        gateway,
+                        Event::CounterReply { key: name, result: outcome, latency },
+                        Reason::OnTotal,
+                    );
                 }
                 Happening::Gather => self.gather()?,
                 Happening::Listed { gateway, place } => {
@@ -356,8 +360,8 @@
         self.hosts[gateway as usize].gateway.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, backend, .. } => self.send(gateway, id, backend),
-                Action::Refuse { id, retry_after } => self.end(id, Final::Refused { retry_after }),
+                Action::ForwardAttempt { id, endpoint, .. } => self.send(gateway, id, endpoint),
+                Action::Reject { id, retry_after } => self.end(id, Final::Refused { retry_after }),
                 Action::Fail { id } => {
                     let timed_out = self.tries.get(&id).is_some_and(|t| t.deadline <= self.now);
                     self.end(id, Final::Failed { timed_out });
@@ -366,17 +370,17 @@
                     let at = self.now + (after * 1000.0).ceil() as u64;
                     self.plan(at, Happening::Timer { gateway, token });
                 }
-                Action::Count { name, amount, keep } => {
+                Action::IncrementCounter { key: name, amount, ttl: keep } => {
                     let way = self.way(self.hosts[gateway as usize].zone, 0);
                     let made = self.now;
                     self.plan(made + way, Happening::Call { gateway, name, amount, keep, made });
                 }
                 Action::Log(text) => tracing::debug!(gateway, "{text}"),
                 // The model calls off with the client and gives no permission for the others.
-                Action::CallOff { .. }
-                | Action::Probe { .. }
-                | Action::Tell { .. }
-                | Action::WatchBackends => {
+                Action::CancelAttempt { .. }
+                | Action::HealthCheck { .. }
+                | Action::Gossip { .. }
+                | Action::WatchEndpoints => {
                     self.tally.stray += 1;
                 }
             }
@@ -389,14 +393,14 @@
         let tenant = &self.clients.tenants[ask.tenant as usize];
         let arrival = Arrival {
             id,
-            customer: tenant.name.clone(),
+            tenant: tenant.name.clone(),
             plan: self.plan_names[tenant.plan].clone(),
             class: self.class_names[ask.class].clone(),
             units: ask.units,
-            repeat: ask.tries > 0,
-            patience: class.deadline_ms,
-            first: tenant.first,
-            spread: tenant.spread,
+            client_retry: ask.tries > 0,
+            time_to_deadline: class.deadline_ms,
+            first_gateway: tenant.first,
+            gateways_per_tenant: tenant.spread,
         };
         let deadline = self.now + (class.deadline_ms * 1000.0) as u64;
         let gateway = ask.gateway;
@@ -415,11 +419,11 @@
         let new =
             Try { ask, arrived: self.now, deadline, attempts: 0, out: None, charged: false, over: false };
         self.tries.insert(id, new);
-        self.tell(gateway, Event::Request(arrival), Reason::AtOnce);
+        self.tell(gateway, Event::RequestArrived(arrival), Reason::AtOnce);
     }
 
-    fn send(&mut self, gateway: u32, id: u64, backend: Name) {
-        let server = server_of(&backend).filter(|s| *s < self.servers.all.len());
+    fn send(&mut self, gateway: u32, id: u64, endpoint: Name) {
+        let server = server_of(&endpoint).filter(|s| *s < self.servers.all.len());
         let free = self.tries.get(&id).is_some_and(|t| t.out.is_none());
         let (Some(server), true) = (server, free) else {
             // A real gateway answers this as never sent; here it is a fault of the decisions.
@@ -449,7 +453,7 @@
         let Some(sent) = self.tries.get_mut(&id) else { return };
         let attempt = sent.attempts;
         sent.attempts += 1;
-        sent.out = Some(Out { number: attempt, server: number, name: backend, sent: self.now, handshake });
+        sent.out = Some(Out { number: attempt, server: number, name: endpoint, sent: self.now, handshake });
         if sent.ask.counted {
             self.tally.attempts += 1;
             self.tally.handshakes += u64::from(!pooled);
@@ -468,7 +472,7 @@
         self.tally.attempts_ended += u64::from(open.ask.counted);
         let added = self.now - open.arrived - latency + out.handshake;
         match outcome {
-            Outcome::Served | Outcome::Error | Outcome::Full => {
+            Outcome::Served | Outcome::Error | Outcome::Rejected => {
                 self.hosts[gateway as usize].keep_connection(out.server, self.now);
             }
             Outcome::ConnectFailed => self.hosts[gateway as usize].drop_connections(out.server),
@@ -540,11 +544,11 @@
         let (gateway, out) = (open.ask.gateway, open.out.take());
         self.tally.attempts_ended += u64::from(open.ask.counted && out.is_some());
         self.end(id, Final::Left);
-        self.tell(gateway, Event::ClientLeft { id }, Reason::HoldOver);
+        self.tell(gateway, Event::ClientDisconnected { id }, Reason::HoldOver);
         let Some(out) = out else { return };
         // What is out is given up with the client, and its end is owed.
         let latency = self.now - out.sent;
-        self.tell(gateway, attempt_ended(id, out, Outcome::CalledOff, latency, true, None), Reason::HoldOver);
+        self.tell(gateway, attempt_ended(id, out, Outcome::Cancelled, latency, true, None), Reason::HoldOver);
     }
 
     // ---- Servers ----
@@ -568,7 +572,7 @@
         match self.servers.take(server as usize, job, self.now) {
             Ok(Some(takes)) => self.plan(self.now + takes, Happening::Finished { server, job }),
             Ok(None) => {}
-            Err(()) => self.answer(server, job, Outcome::Full),
+            Err(()) => self.answer(server, job, Outcome::Rejected),
         }
     }
 
@@ -598,7 +602,7 @@
         let (mut at, mut outcome) = (served.done + way, served.outcome);
         let late = made + self.counter.patience;
         if at > late {
-            (at, outcome) = (late.max(self.now), CountOutcome::Unknown);
+            (at, outcome) = (late.max(self.now), CounterResult::Unknown);
             self.counter.unanswered += 1;
         }
         self.plan(at, Happening::Counted { gateway, name, outcome, made });
@@ -624,14 +628,14 @@
         let Some(release) = &self.experiment.release else { return };
         self.servers.all[server as usize].life = Life::Draining(self.now);
         self.drained_now.push(server);
-        self.discovery.note(self.row(server, BackendState::Draining));
+        self.discovery.note(self.row(server, EndpointState::Draining));
         self.plan(self.now + (release.grace_s * 1e6) as u64, Happening::Retire { server });
     }
 
     fn retire(&mut self, server: u32) {
         let Some(release) = &self.experiment.release else { return };
         self.servers.all[server as usize].life = Life::Gone;
-        self.discovery.note(self.row(server, BackendState::Gone));
+        self.discovery.note(self.row(server, EndpointState::Removed));
         self.plan(self.now + (release.boot_s * 1e6) as u64, Happening::Boot { server });
     }
 
@@ -639,7 +643,7 @@
         let (zone, cell) = (self.servers.all[server as usize].zone, self.servers.all[server as usize].cell);
         let speed = self.work.within(self.experiment.servers.speed);
         let new = self.servers.add(zone, cell, speed, Some(self.now));
-        self.discovery.note(self.row(new, BackendState::Ready));
+        self.discovery.note(self.row(new, EndpointState::Ready));
     }
 
     // ---- The result ----
--- a/fleet/tests/slopes.rs
+++ b/fleet/tests/slopes.rs
@@ -30,7 +30,7 @@
         measured_for: Duration::ZERO,
     };
     let weigh = |load, size: usize| {
-        let load = if load == Load::Tenants { "tenants" } else { "backends" };
+        let load = if load == Load::Tenants { "tenants" } else { "endpoints" };
         let output = Command::new(env!("CARGO_BIN_EXE_ryefront-fleet"))
             .args(["weigh", load, &size.to_string()])
             .output()
--- a/gateway/src/clients.rs
+++ b/gateway/src/clients.rs
@@ -1,11 +1,10 @@
 //! The clients' side: takes requests in, reads their headers, writes their answers, drains at the end.
 
-use crate::backends::{LARGEST_BODY, Message};
 use crate::clock::millis;
+use crate::endpoints::{LARGEST_BODY, Message};
 use crate::engine::{Engine, Reply};
 use crate::socket::{Socket, is_local};
 use bytes::Bytes;
-use doorcourse::{Arrival, Effect, Name, RequestId, Settings};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{
@@ -16,6 +15,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use percent_encoding::percent_decode_str;
+use ryefront_policy::{Arrival, Idempotency, Name, RequestId, Settings};
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 use std::convert::Infallible;
@@ -82,7 +82,7 @@
 struct ParsedRequest {
     class: Name,
     plan: Name,
-    customer: Name,
+    tenant: Name,
     units: f64,
     spread: u32,
     first: u32,
@@ -94,7 +94,7 @@
 /// The server side of one gateway.
 pub struct Server {
     engine: Rc<Engine>,
-    classes: Vec<(Name, Effect)>,
+    classes: Vec<(Name, Idempotency)>,
     plans: Vec<Name>,
     most_units: f64,
     gateways: u32,
@@ -234,10 +234,10 @@
     pub fn new(engine: Rc<Engine>, settings: &Settings, most_clients: usize) -> Rc<Self> {
         Rc::new(Self {
             engine,
-            classes: settings.classes.iter().map(|c| (c.name.clone(), c.effect)).collect(),
+            classes: settings.classes.iter().map(|c| (c.name.clone(), c.idempotency)).collect(),
             plans: settings.plans.iter().map(|p| p.name.clone()).collect(),
-            most_units: settings.most_units,
-            gateways: settings.gateways,
+            most_units: settings.max_units,
+            gateways: settings.gateway_count,
             in_flight: RefCell::default(),
             most_clients,
             connections: RefCell::default(),
@@ -355,7 +355,7 @@
         let client = Rc::new(ClientConnection::new(socket.clone()));
         self.connections.borrow_mut().push(client.clone());
         let round = *closing.borrow();
-        crate::backends::spawn(async move {
+        crate::endpoints::spawn(async move {
             let service = service_fn(|request| {
                 let (server, client) = (self.clone(), client.clone());
                 async move {
@@ -419,7 +419,7 @@
             match taken.and_then(|parsed| Ok((self.register(parsed.message.id.clone())?, parsed))) {
                 Ok((_in_flight, parsed)) => {
                     client.busy.set(true);
-                    // Guards backends against requests of those who are gone. The HTTP library sees an end only
+                    // Guards endpoints against requests of those who are gone. The HTTP library sees an end only
                     // while nothing stands before it: bytes that a client sent behind its request hide it.
                     // It is looked for before anything is decided too: many who ask and go at once would crowd out
                     // others for as long as it takes to hear of it.
@@ -511,9 +511,9 @@
         let (class, effect) = class.cloned().ok_or(RequestError::Bad("class"))?;
         let key = single(headers, "idempotency-key")?;
         let fits = match effect {
-            Effect::Safe => method == Method::GET && key.is_none(),
-            Effect::Keyed => method == Method::POST && key.is_some_and(|k| !k.is_empty()),
-            Effect::Unsafe => method == Method::POST && key.is_none(),
+            Idempotency::Idempotent => method == Method::GET && key.is_none(),
+            Idempotency::WithKey => method == Method::POST && key.is_some_and(|k| !k.is_empty()),
+            Idempotency::NonIdempotent => method == Method::POST && key.is_none(),
         };
         if !fits {
             return Err(RequestError::Bad("method or Idempotency-Key, for this class"));
@@ -524,12 +524,12 @@
         let plan = single(headers, "api-plan")?.ok_or(RequestError::Bad("Api-Plan"))?;
         let plan = self.plans.iter().find(|p| p.as_bytes() == plan.as_bytes());
         let plan = plan.ok_or(RequestError::Bad("Api-Plan"))?.clone();
-        let customer = text(headers, "api-customer")?
+        let tenant = text(headers, "api-customer")?
             .filter(|c| c.len() == 16 && c.bytes().all(|b| b.is_ascii_hexdigit()))
             .filter(|c| u64::from_str_radix(c, 16).is_ok_and(|n| n < 1 << 33))
             .ok_or(RequestError::Bad("Api-Customer"))?;
-        // One customer, one name: its quota does not double with the case of its digits.
-        let customer = Name::from(customer.to_ascii_lowercase());
+        // One tenant, one name: its quota does not double with the case of its digits.
+        let tenant = Name::from(tenant.to_ascii_lowercase());
         let patience = text(headers, "req-deadline-ms")?
             .and_then(number)
             .filter(|ms| (1..=LONGEST_PATIENCE).contains(ms))
@@ -544,7 +544,7 @@
         let (units, spread, first) = self.terms(terms).ok_or(RequestError::Bad("Api-Terms"))?;
         let (kind, key) = (headers.get(CONTENT_TYPE).cloned(), key.cloned());
         let message = Message { method, target, id: id.clone(), key, kind, body: Bytes::new() };
-        Ok(ParsedRequest { class, plan, customer, units, spread, first, repeat, patience, message })
+        Ok(ParsedRequest { class, plan, tenant, units, spread, first, repeat, patience, message })
     }
 
     /// Reads `units=2,spread=3,first=1`; a request of no said units is one unit.
@@ -558,7 +558,7 @@
                 _ => {}
             }
         }
-        // Guards what is kept of usual customers against requests in their name that can't be theirs.
+        // Guards what is kept of usual tenants against requests in their name that can't be theirs.
         let most = if self.most_units > 0.0 { self.most_units } else { f64::MAX };
         let spread = spread.filter(|s| (1..=self.gateways).contains(s))?;
         (units > 0.0 && units <= most).then_some((units, spread, first.filter(|f| *f < self.gateways)?))
@@ -575,12 +575,22 @@
     }
 
     async fn decide(&self, parsed: ParsedRequest, client: Socket) -> Response<Full<Bytes>> {
-        let ParsedRequest { class, plan, customer, units, spread, first, repeat, patience, message } = parsed;
+        let ParsedRequest { class, plan, tenant, units, spread, first, repeat, patience, message } = parsed;
         let margin = MARGIN.min(patience.mul_f64(MARGIN_SHARE));
         let (patience, now) = (patience - margin, Instant::now());
         let patience_ms = millis(patience);
         let (id, reply) = self.engine.open(
-            |id| Arrival { id, customer, plan, class, units, repeat, patience: patience_ms, first, spread },
+            |id| Arrival {
+                id,
+                tenant,
+                plan,
+                class,
+                units,
+                client_retry: repeat,
+                time_to_deadline: patience_ms,
+                first_gateway: first,
+                gateways_per_tenant: spread,
+            },
             message,
             client,
             now + patience,
--- a/gateway/src/clock.rs
+++ b/gateway/src/clock.rs
@@ -1,6 +1,6 @@
 //! The one clock of a gateway.
 
-use doorcourse::Millis;
+use ryefront_policy::Millis;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Unix time in milliseconds. Count names are made of window numbers, so all gateways must agree on it; it is
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -3,8 +3,8 @@
 use crate::backoff::Pace;
 use crate::clock::{millis, span};
 use crate::discovery::{List, ListError};
-use doorcourse::Settings;
-use doorcourse_simhost::settings::{self, Object};
+use ryefront_policy::Settings;
+use ryefront_settings::{Object, ReadError};
 use serde::Deserialize;
 use serde_json::Value;
 use std::fmt;
@@ -13,7 +13,7 @@
 
 /// Used where the settings name no such time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-const BACKEND_IDLE: Duration = Duration::from_secs(15);
+const ENDPOINT_IDLE: Duration = Duration::from_secs(15);
 const COUNTER_TIMEOUT: Duration = Duration::from_millis(50);
 /// Used where the configuration names no limit.
 const SOCKETS: usize = 1024;
@@ -31,10 +31,10 @@
     Address(&'static str),
     /// The seed is not a number of up to 16 hex digits.
     Seed,
-    /// The list of backends in it cannot be used.
+    /// The list of endpoints in it cannot be used.
     Known(ListError),
     /// The settings cannot be used.
-    Settings(String),
+    Settings(ReadError),
 }
 
 impl fmt::Display for ConfigError {
@@ -46,7 +46,7 @@
             Self::Address(which) => write!(f, "{which}: no address, or an unusable one"),
             Self::Seed => write!(f, "seed is not a number in hex digits"),
             Self::Known(error) => write!(f, "known: {error}"),
-            Self::Settings(what) => write!(f, "{what}"),
+            Self::Settings(error) => write!(f, "{error}"),
         }
     }
 }
@@ -90,12 +90,12 @@
     pub seed: u64,
     /// The most descriptors that the process may hold.
     pub sockets: usize,
-    /// The list of backends as this gateway last had it.
+    /// The list of endpoints as this gateway last had it.
     pub known: List,
     /// A connection that takes longer has failed.
     pub connect_timeout: Duration,
-    /// Backends close connections that stood idle for this long.
-    pub backend_idle: Duration,
+    /// Endpoints close connections that stood idle for this long.
+    pub endpoint_idle: Duration,
     /// What the decisions are made by.
     pub settings: Settings,
 }
@@ -138,7 +138,7 @@
         let address = |text: Option<String>, which| {
             text.and_then(|t| t.parse::<SocketAddr>().ok()).ok_or(ConfigError::Address(which))
         };
-        let mut settings = settings::read(&file.settings).map_err(ConfigError::Settings)?;
+        let mut settings = ryefront_settings::read(&file.settings).map_err(ConfigError::Settings)?;
         let permissions = Object::of(&file.settings, "permissions").map_err(ConfigError::Settings)?;
         let time = |key, usual| match permissions.number(key).map_err(ConfigError::Settings)? {
             ms if ms > 0.0 => Ok(span(ms)),
@@ -146,7 +146,7 @@
         };
         let rules = Object::of(&file.settings, "rules").map_err(ConfigError::Settings)?;
         let grace = span(rules.number("drain-grace-ms").map_err(ConfigError::Settings)?);
-        let pace = Pace::of(!settings.list_on_request, grace);
+        let pace = Pace::of(!settings.polls_endpoints, grace);
         let known = match &file.known {
             Value::Null => List { seq: 0, whole: true, hosts: Vec::new() },
             value => List::from_value(value).map_err(ConfigError::Known)?,
@@ -156,7 +156,7 @@
         if settings.counter_timeout <= 0.0 {
             settings.counter_timeout = millis(COUNTER_TIMEOUT);
         }
-        let counter = settings.counter.then(|| address(file.counter, "counter")).transpose()?;
+        let counter = settings.has_counter.then(|| address(file.counter, "counter")).transpose()?;
         Ok(Self {
             name: choose("NODE_NAME", Some(file.name)).unwrap_or_default(),
             listen: address(choose("NODE_LISTEN", file.listen), "NODE_LISTEN")?,
@@ -167,7 +167,7 @@
             sockets: file.limits.sockets.unwrap_or(SOCKETS),
             known,
             connect_timeout,
-            backend_idle: time("keepalive-ms", BACKEND_IDLE)?,
+            endpoint_idle: time("keepalive-ms", ENDPOINT_IDLE)?,
             settings,
         })
     }
--- a/gateway/src/counter.rs
+++ b/gateway/src/counter.rs
@@ -3,9 +3,9 @@
 use crate::clock::millis;
 use crate::log;
 use crate::socket::{connect, is_transient};
-use doorcourse::{CountOutcome, Millis};
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
+use ryefront_policy::{CounterResult, Millis};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -34,7 +34,7 @@
 const MOST_BYTES: usize = 4096;
 
 /// What is told of each call, once: its name, how it ended, how long it took.
-pub type Report = dyn Fn(u64, CountOutcome, Millis);
+pub type Report = dyn Fn(u64, CounterResult, Millis);
 
 struct Call {
     /// None for a ping.
@@ -97,7 +97,7 @@
         let amount = format!("{}", (amount * 1e6).round() / 1e6);
         let keep = (keep.ceil().max(1.0) as u64).to_string();
         if !lane.push(Some(name), &["ADDGET", &name_text, &amount, &keep]) {
-            (lane.report)(name, CountOutcome::NotAdded, 0.0);
+            (lane.report)(name, CounterResult::NotAdded, 0.0);
         }
     }
 }
@@ -176,12 +176,12 @@
     fn fail_all(&self, up: bool) {
         let Pipeline { calls, written, .. } = self.pipeline.replace(Pipeline { up, ..Pipeline::default() });
         for call in calls {
-            let added = if call.end <= written { CountOutcome::Unknown } else { CountOutcome::NotAdded };
+            let added = if call.end <= written { CounterResult::Unknown } else { CounterResult::NotAdded };
             self.tell(&call, added);
         }
     }
 
-    fn tell(&self, call: &Call, outcome: CountOutcome) {
+    fn tell(&self, call: &Call, outcome: CounterResult) {
         if let (Some(name), false) = (call.name, call.told) {
             (self.report)(name, outcome, millis(call.made.elapsed()));
         }
@@ -278,13 +278,13 @@
         let outcome = match frame {
             OwnedFrame::BulkString(text) => {
                 let total = std::str::from_utf8(&text).ok().and_then(|t| t.parse::<f64>().ok());
-                total.filter(|t| t.is_finite()).map(CountOutcome::Total)
+                total.filter(|t| t.is_finite()).map(CounterResult::Total)
             }
             // Any other word is a spoilt answer, and the amount was added.
             OwnedFrame::Error(word) if word.starts_with("BUSY") || word.starts_with("ERR") => {
-                Some(CountOutcome::NotAdded)
+                Some(CounterResult::NotAdded)
             }
-            OwnedFrame::SimpleString(_) if name.is_none() => Some(CountOutcome::NotAdded),
+            OwnedFrame::SimpleString(_) if name.is_none() => Some(CounterResult::NotAdded),
             _ => None,
         };
         // A call with a spoilt answer stays in line, to be told of as unknown with those behind it.
@@ -305,7 +305,7 @@
                 call.told = true;
                 Call { told: false, ..*call }
             };
-            self.tell(&late, CountOutcome::Unknown);
+            self.tell(&late, CounterResult::Unknown);
         }
     }
 }
--- a/gateway/src/discovery.rs
+++ b/gateway/src/discovery.rs
@@ -1,14 +1,14 @@
-//! The list of backends: what it says, and the watch that keeps it fresh.
+//! The list of endpoints: what it says, and the watch that keeps it fresh.
 
-use crate::backends::Backends;
 use crate::backoff::{CONNECT_TIMEOUT, Failure, Pace, Retry};
 use crate::connection::{Connection, Progress};
+use crate::endpoints::EndpointRegistry;
 use crate::engine::Engine;
 use crate::log;
 use bytes::Bytes;
-use doorcourse::{BackendEntry, BackendState, Event, Name};
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
+use ryefront_policy::{EndpointEntry, EndpointState, Event, Name};
 use serde::Deserialize;
 use serde_json::Value;
 use std::borrow::Cow;
@@ -20,7 +20,7 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, timeout};
 
-/// The most backends that a list has room for, and the bytes of one at most, indented as it may be.
+/// The most endpoints that a list has room for, and the bytes of one at most, indented as it may be.
 const MOST_HOSTS: usize = 1 << 15;
 const LONGEST_HOST: usize = 512;
 /// The longest list that is read.
@@ -40,9 +40,9 @@
 impl fmt::Display for ListError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Malformed(error) => write!(f, "malformed list of backends: {error}"),
-            Self::Unnamed => write!(f, "a backend has no name"),
-            Self::Address(host) => write!(f, "backend {host} has no usable address"),
+            Self::Malformed(error) => write!(f, "malformed list of endpoints: {error}"),
+            Self::Unnamed => write!(f, "an endpoint has no name"),
+            Self::Address(host) => write!(f, "endpoint {host} has no usable address"),
         }
     }
 }
@@ -80,23 +80,23 @@
     Terminated,
 }
 
-/// One backend and where it listens.
+/// One endpoint and where it listens.
 #[derive(Clone, Debug)]
 pub struct Host {
     /// What the decisions need to know.
-    pub entry: BackendEntry,
+    pub entry: EndpointEntry,
     /// Where it listens.
     pub dial: SocketAddr,
 }
 
-/// The list of backends or changes to it.
+/// The list of endpoints or changes to it.
 #[derive(Clone, Debug)]
 pub struct List {
     /// Its version.
     pub seq: u64,
-    /// Whether backends that are missing are gone.
+    /// Whether endpoints that are missing are gone.
     pub whole: bool,
-    /// The entries; of several for one backend the last counts.
+    /// The entries; of several for one endpoint the last counts.
     pub hosts: Vec<Host>,
 }
 
@@ -125,9 +125,9 @@
             }
             let Ok(dial) = row.dial.parse() else { return Err(ListError::Address(row.host.into())) };
             let state = match row.health {
-                Health::InService => BackendState::Ready,
-                Health::Terminating => BackendState::Draining,
-                Health::Terminated => BackendState::Gone,
+                Health::InService => EndpointState::Ready,
+                Health::Terminating => EndpointState::Draining,
+                Health::Terminated => EndpointState::Removed,
             };
             // 0 stands for a start long ago, of which nothing is known.
             let started = (row.born_ms > 0.0).then_some(row.born_ms);
@@ -136,17 +136,20 @@
                 zone = row.site.into();
             }
             let (name, zone) = (row.host.into(), zone.clone());
-            Ok(Host { entry: BackendEntry { name, zone, cell: row.block, state, started }, dial })
+            Ok(Host {
+                entry: EndpointEntry { name, zone, cell: row.block, state, started_at: started },
+                dial,
+            })
         });
         Ok(Self { seq: sheet.seq, whole: sheet.whole, hosts: hosts.collect::<Result<_, _>>()? })
     }
 }
 
 /// Brings a list to the connections first, so that nothing is sent by an older word, then to the decisions.
-pub fn tell(list: List, backends: &Backends, engine: &Engine) {
-    backends.update(&list);
+pub fn tell(list: List, endpoints: &EndpointRegistry, engine: &Engine) {
+    endpoints.update(&list);
     let entries = list.hosts.into_iter().map(|h| h.entry).collect();
-    engine.post(if list.whole { Event::BackendList(entries) } else { Event::BackendChanges(entries) });
+    engine.post(if list.whole { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) });
 }
 
 /// Why a connection to discovery was given up.
@@ -198,15 +201,15 @@
 
 /// Keeps a watch going for ever, wherever discovery is by now; while it is silent the last list stays.
 pub async fn watch(
-    mut address: watch::Receiver<SocketAddr>, seq: u64, seed: u64, pace: Pace, backends: Rc<Backends>,
-    engine: Rc<Engine>,
+    mut address: watch::Receiver<SocketAddr>, seq: u64, seed: u64, pace: Pace,
+    endpoints: Rc<EndpointRegistry>, engine: Rc<Engine>,
 ) {
     let (mut seq, mut chance) = (Some(seq), fastrand::Rng::with_seed(seed));
     let mut told = [false; 3];
     loop {
         let at = *address.borrow_and_update();
         tokio::select! {
-            () = stay(at, seq, pace, &mut chance, &mut told, &backends, &engine) => {}
+            () = stay(at, seq, pace, &mut chance, &mut told, &endpoints, &engine) => {}
             Ok(()) = address.changed() => {}
         }
         // Guards against lists that count their versions differently: the new place is asked for all it has.
@@ -217,13 +220,13 @@
 /// Keeps a watch going at one address, for ever.
 async fn stay(
     address: SocketAddr, mut seq: Option<u64>, pace: Pace, chance: &mut fastrand::Rng, told: &mut [bool; 3],
-    backends: &Backends, engine: &Engine,
+    endpoints: &EndpointRegistry, engine: &Engine,
 ) {
     let mut retry = Retry::new(pace);
     loop {
         let fault = match Connection::connect(address, CONNECT_TIMEOUT).await {
             Ok(mut connection) => {
-                calls(&mut connection, address, &mut seq, pace, &mut retry, backends, engine).await
+                calls(&mut connection, address, &mut seq, pace, &mut retry, endpoints, engine).await
             }
             Err(_) => Fault::Lost("no connection"),
         };
@@ -237,7 +240,7 @@
 /// One call after another on one connection, until something is wrong with it; tells what.
 async fn calls(
     connection: &mut Connection, address: SocketAddr, seq: &mut Option<u64>, pace: Pace, retry: &mut Retry,
-    backends: &Backends, engine: &Engine,
+    endpoints: &EndpointRegistry, engine: &Engine,
 ) -> Fault {
     // The first call does not wait: it shows at once whether there is anyone, and brings what was missed.
     let mut wait = Duration::ZERO;
@@ -266,7 +269,7 @@
                 *seq = (!restarted).then_some(list.seq);
                 wait = pace.wait;
                 retry.answered();
-                tell(list, backends, engine);
+                tell(list, endpoints, engine);
             }
             Err(error) => return Fault::Unreadable(error.to_string()),
         }
--- a/gateway/src/backends.rs
+++ b/gateway/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The backends' side: where they listen, the connections to them, attempts and probes and how they end.
+//! The endpoints' side: where they listen, the connections to them, attempts and probes and how they end.
 
 use crate::clock::millis;
 use crate::connection::{Connection, Progress};
@@ -6,14 +6,14 @@
 use crate::pool::Pool;
 use crate::socket::{ConnectError, Socket};
 use bytes::Bytes;
-use doorcourse::{BackendState, LoadReport, Name, Outcome, Reports};
-use doorcourse_simhost::set_load;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
 use hyper::http::request::Builder;
 use hyper::http::response;
 use hyper::{Method, Request, StatusCode};
 use rustc_hash::FxHashMap;
+use ryefront_policy::{EndpointState, LoadReport, LoadReportSource, Name, Outcome};
+use ryefront_settings::set_load_value;
 use std::cell::{Cell, RefCell};
 use std::future::{Future, poll_fn};
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 pub const LARGEST_BODY: usize = 64 * 1024;
 /// An answer that has begun must be whole after this: it is small and ready when its first byte is written.
 const ANSWER: Duration = Duration::from_millis(250);
-/// A connection that carried an answer is not used again for this long. Guards against bytes that a backend
+/// A connection that carried an answer is not used again for this long. Guards against bytes that an endpoint
 /// writes behind its answer, which would be taken for the answer to the next request, and against closes right
 /// behind it, which the next request would cross. Second answers were seen up to 5 ms late, such closes up to 25 ms.
 const QUARANTINE: Duration = Duration::from_millis(25);
@@ -35,7 +35,7 @@
 const LARGEST_LOAD: f64 = 1e6;
 /// Idle connections are looked after this often.
 const ROUND: Duration = Duration::from_secs(1);
-/// A connection is kept idle for this share of the time after which backends close it: well before.
+/// A connection is kept idle for this share of the time after which endpoints close it: well before.
 const IDLE_SHARE: f64 = 0.5;
 /// How old kept connections are is told apart in so many steps, each this many times the one before; the first
 /// ends here.
@@ -50,12 +50,12 @@
 const STALE_MARGIN_UNSAFE: f64 = 0.02;
 /// By this share an age that is passed over is trusted more, so that it is tried again.
 const STALE_DECAY: f64 = 0.02;
-/// The word of a backend that never began with a request.
+/// The word of an endpoint that never began with a request.
 const DECLINED: &str = "srv-declined";
 /// The load report that comes with answers.
 const LOAD: &str = "srv-load";
 
-/// What a client asked, as far as it goes on to a backend.
+/// What a client asked, as far as it goes on to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Message {
     /// The method.
@@ -72,7 +72,7 @@
     pub body: Bytes,
 }
 
-/// A backend's 200 answer.
+/// An endpoint's 200 answer.
 #[derive(Debug)]
 pub struct Answer {
     /// Its headers, without those that belong to the connection.
@@ -98,7 +98,7 @@
     }
 }
 
-struct Backend {
+struct Endpoint {
     dial: SocketAddr,
     ready: bool,
     /// When it last answered anything.
@@ -111,7 +111,7 @@
 /// they have stood idle. Guards requests against peers, or anything on the way, that forget idle connections
 /// sooner than is said and let the next request show it: there is nothing to see on the socket before. It also
 /// covers the end of a connection right behind its answer. Resets that strike at random are no reason to
-/// connect anew, so new ones are the measure. It could hurt where a few of many backends forget early: then
+/// connect anew, so new ones are the measure. It could hurt where a few of many endpoints forget early: then
 /// all pay with handshakes.
 #[derive(Default)]
 struct StaleEstimator {
@@ -150,32 +150,32 @@
     }
 }
 
-/// All backends that this gateway knows.
-pub struct Backends {
-    known: RefCell<FxHashMap<Name, Backend>>,
+/// All endpoints that this gateway knows.
+pub struct EndpointRegistry {
+    known: RefCell<FxHashMap<Name, Endpoint>>,
     /// Free connections.
     pool: RefCell<Pool<Connection>>,
     /// How many lists were taken in.
     lists: Cell<u64>,
     connect_timeout: Duration,
     longest_idle: Duration,
-    reports: Reports,
+    reports: LoadReportSource,
     most_open: usize,
     busy: Rc<Cell<usize>>,
     stale: RefCell<StaleEstimator>,
 }
 
-impl Backends {
-    /// No backends yet; at most `most_open` connections to all of them together.
+impl EndpointRegistry {
+    /// No endpoints yet; at most `most_open` connections to all of them together.
     pub fn new(
-        connect_timeout: Duration, backend_idle: Duration, reports: Reports, most_open: usize,
+        connect_timeout: Duration, endpoint_idle: Duration, reports: LoadReportSource, most_open: usize,
     ) -> Rc<Self> {
         Rc::new(Self {
             known: RefCell::default(),
             pool: RefCell::default(),
             lists: Cell::default(),
             connect_timeout,
-            longest_idle: backend_idle.mul_f64(IDLE_SHARE),
+            longest_idle: endpoint_idle.mul_f64(IDLE_SHARE),
             reports,
             most_open,
             busy: Rc::default(),
@@ -195,21 +195,21 @@
         }
         for host in &list.hosts {
             let (name, dial) = (&host.entry.name, host.dial);
-            if host.entry.state == BackendState::Gone {
+            if host.entry.state == EndpointState::Removed {
                 known.remove(name);
                 pool.clear(name);
                 continue;
             }
-            let ready = host.entry.state == BackendState::Ready;
-            let backend = known.entry(name.clone()).or_insert(Backend { dial, ready, heard, told });
-            if !ready || backend.dial != dial {
+            let ready = host.entry.state == EndpointState::Ready;
+            let endpoint = known.entry(name.clone()).or_insert(Endpoint { dial, ready, heard, told });
+            if !ready || endpoint.dial != dial {
                 pool.clear(name);
             }
-            (backend.ready, backend.dial, backend.told) = (ready, dial, told);
+            (endpoint.ready, endpoint.dial, endpoint.told) = (ready, dial, told);
         }
         if list.whole {
-            known.retain(|name, backend| {
-                let stays = backend.told == told;
+            known.retain(|name, endpoint| {
+                let stays = endpoint.told == told;
                 if !stays {
                     pool.clear(name);
                 }
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Sends a request to a backend and tells how that ended, once its connection is closed or free again.
+    /// Sends a request to an endpoint and tells how that ended, once its connection is closed or free again.
     /// It ends at `until` at the latest, or when `called_off` resolves, and nothing is written from then on, nor
     /// once the `client` has left. Its last byte is written before `written_by`, or it is given up.
     pub async fn attempt(
@@ -256,11 +256,11 @@
         // Guards what was waited for with a connection: the wait's end and its reason's may come in one turn.
         let may_begin = async || {
             if client.has_left().await || called_off.borrow_mut().try_recv().is_ok() {
-                return Err(Outcome::CalledOff);
+                return Err(Outcome::Cancelled);
             }
             let now = Instant::now();
             if written_by.is_some_and(|by| now >= by) {
-                return Err(Outcome::NeverSent);
+                return Err(Outcome::NotSent);
             }
             if now < until { Ok(()) } else { Err(Outcome::TimedOut) }
         };
@@ -271,7 +271,7 @@
             answer = self.exchange(name, repeatable, written_by, may_begin, build) => {
                 answer.map_or_else(End::from, |answer| self.judge(answer))
             }
-            _ = call => Outcome::CalledOff.into(),
+            _ = call => Outcome::Cancelled.into(),
             () = sleep_until(until) => Outcome::TimedOut.into(),
         };
         if end.outcome == Outcome::TimedOut {
@@ -281,7 +281,7 @@
     }
 
     /// Guards against machines that vanish: connections to one stay open and silent, and each would take a
-    /// request into doubt until its time is over. A new one fails soon and for certain. A backend that has
+    /// request into doubt until its time is over. A new one fails soon and for certain. An endpoint that has
     /// answered anything since is merely slow.
     fn doubt(&self, name: &Name, since: Instant) {
         if self.known.borrow().get(name).is_some_and(|b| b.heard < since) {
@@ -289,9 +289,9 @@
         }
     }
 
-    /// Asks a backend for its load, or where there are no reports for a sign of life.
+    /// Asks an endpoint for its load, or where there are no reports for a sign of life.
     pub async fn probe(&self, name: &Name) -> End {
-        let path = if self.reports == Reports::None { "/alive" } else { "/metrics/load" };
+        let path = if self.reports == LoadReportSource::None { "/alive" } else { "/metrics/load" };
         let build = |dial: SocketAddr| (Request::get(path).header("Host", dial.to_string()), Bytes::new());
         match tokio::time::timeout(
             self.connect_timeout,
@@ -314,15 +314,15 @@
         may_begin: impl AsyncFn() -> Result<(), Outcome>, build: impl Fn(SocketAddr) -> (Builder, Bytes),
     ) -> Result<(response::Parts, Bytes), Outcome> {
         loop {
-            let (dial, pooled) = self.free_connection(name, repeatable).ok_or(Outcome::NeverSent)?;
+            let (dial, pooled) = self.free_connection(name, repeatable).ok_or(Outcome::NotSent)?;
             let idle = pooled.as_ref().map(|(_, idle)| *idle);
-            let _slot = self.slot().ok_or(Outcome::NeverSent)?;
+            let _slot = self.slot().ok_or(Outcome::NotSent)?;
             let mut connection = match pooled {
                 Some((connection, _)) => connection,
                 None => {
                     Connection::connect(dial, self.connect_timeout).await.map_err(|error| match error {
-                        // No word of the backend: it must not be ejected for it.
-                        ConnectError::Local(_) => Outcome::NeverSent,
+                        // No word of the endpoint: it must not be ejected for it.
+                        ConnectError::Local(_) => Outcome::NotSent,
                         ConnectError::Peer(_) | ConnectError::TimedOut => Outcome::ConnectFailed,
                     })?
                 }
@@ -330,10 +330,10 @@
             may_begin().await?;
             // Guards drains: while the connection came up the list may have changed.
             if self.dial(name) != Some(dial) {
-                return Err(Outcome::NeverSent);
+                return Err(Outcome::NotSent);
             }
             let (builder, body) = build(dial);
-            let request = builder.body(Full::new(body)).map_err(|_| Outcome::NeverSent)?;
+            let request = builder.body(Full::new(body)).map_err(|_| Outcome::NotSent)?;
             let end = connection.exchange(request, LARGEST_BODY, ANSWER, written_by).await;
             let broke = matches!(end, Err(Progress::Whole | Progress::Partly));
             self.stale.borrow_mut().note(idle, broke);
@@ -343,24 +343,24 @@
                     self.answered(name, dial, connection);
                     return Ok(answer);
                 }
-                // Guards against a free connection that its backend closed just now: nothing was written,
-                // so this is no second send, and the backend is not to blame.
+                // Guards against a free connection that its endpoint closed just now: nothing was written,
+                // so this is no second send, and the endpoint is not to blame.
                 Err(Progress::Unsent) if idle.is_some() => {}
                 Err(Progress::Unsent | Progress::Partly) => return Err(Outcome::ConnectFailed),
-                Err(Progress::Whole) => return Err(Outcome::Broken),
-                // The backend lives and may have run it. Guards the fleet against being left alone for
+                Err(Progress::Whole) => return Err(Outcome::ConnectionReset),
+                // The endpoint lives and may have run it. Guards the fleet against being left alone for
                 // answers that come spoilt from all alike: an error says no more than that.
                 Err(Progress::Spoilt) => return Err(Outcome::Error),
             }
         }
     }
 
-    /// Where a backend listens that may be sent something new.
+    /// Where an endpoint listens that may be sent something new.
     fn dial(&self, name: &Name) -> Option<SocketAddr> {
         self.known.borrow().get(name).filter(|b| b.ready).map(|b| b.dial)
     }
 
-    /// A backend that may be sent something new, with a free connection that is alive and may be trusted if there
+    /// An endpoint that may be sent something new, with a free connection that is alive and may be trusted if there
     /// is one, and for how long that was idle.
     fn free_connection(
         &self, name: &Name, repeatable: bool,
@@ -393,13 +393,13 @@
         Some(Slot(self.busy.clone()))
     }
 
-    /// Notes that a backend answered, and keeps the connection if it is free again.
+    /// Notes that an endpoint answered, and keeps the connection if it is free again.
     fn answered(&self, name: &Name, dial: SocketAddr, connection: Option<Connection>) {
         let mut known = self.known.borrow_mut();
-        if let Some(backend) = known.get_mut(name).filter(|b| b.dial == dial) {
-            backend.heard = Instant::now();
-            if let Some(connection) = connection.filter(|_| backend.ready) {
-                self.pool.borrow_mut().put(name, connection, backend.heard);
+        if let Some(endpoint) = known.get_mut(name).filter(|b| b.dial == dial) {
+            endpoint.heard = Instant::now();
+            if let Some(connection) = connection.filter(|_| endpoint.ready) {
+                self.pool.borrow_mut().put(name, connection, endpoint.heard);
             }
         }
     }
@@ -408,11 +408,11 @@
         let declined = head.headers.get(DECLINED).is_some_and(|v| v == "1");
         let outcome = match head.status {
             StatusCode::OK => Outcome::Served,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Rejected,
             // Whatever else it says, it may have run.
             _ => Outcome::Error,
         };
-        let report = head.headers.remove(LOAD).filter(|_| self.reports == Reports::Answers);
+        let report = head.headers.remove(LOAD).filter(|_| self.reports == LoadReportSource::Responses);
         let load = report.as_ref().and_then(|r| r.to_str().ok()).and_then(load);
         let answer = (outcome == Outcome::Served).then(|| {
             for name in
@@ -434,7 +434,7 @@
             && let Ok(value) = value.trim().parse::<f64>()
             && (0.0..=LARGEST_LOAD).contains(&value)
         {
-            set_load(&mut report, key.trim(), value);
+            set_load_value(&mut report, key.trim(), value);
         }
     }
     Some(report)
--- a/gateway/src/engine.rs
+++ b/gateway/src/engine.rs
@@ -1,15 +1,15 @@
 //! The one place where the decisions are asked: events go in, actions come out and are carried out. It owns
 //! the tables of requests that have no final answer yet and of attempts that are out.
 
-use crate::backends::{Answer, Backends, End, Message, spawn};
 use crate::clock::{Clock, millis, span};
 use crate::counter::Counter;
+use crate::endpoints::{Answer, End, EndpointRegistry, Message, spawn};
 use crate::log;
 use crate::socket::Socket;
-use doorcourse::fleet_clock::FleetClock;
-use doorcourse::{
-    Action, Arrival, AttemptEnd, CountOutcome, Event, Gateway, Millis, Name, Outcome, RequestId, Settings,
-    SettingsError,
+use ryefront_policy::fleet_clock::FleetClock;
+use ryefront_policy::{
+    Action, Arrival, AttemptEnd, CounterResult, Event, Millis, Name, Outcome, PolicyEngine, RequestId,
+    Settings, SettingsError,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -30,7 +30,7 @@
 /// The final answer of a request.
 #[derive(Debug)]
 pub enum Reply {
-    /// What a backend answered.
+    /// What an endpoint answered.
     Served(Answer),
     /// Harmless to try again, best after this time.
     Refused(Millis),
@@ -55,7 +55,7 @@
 }
 
 struct State {
-    gateway: Gateway,
+    gateway: PolicyEngine,
     open: HashMap<RequestId, Open>,
     out: HashMap<RequestId, Out>,
     last: RequestId,
@@ -65,7 +65,7 @@
 pub struct Engine {
     clock: Clock,
     fleet_clock: RefCell<FleetClock>,
-    backends: Rc<Backends>,
+    endpoints: Rc<EndpointRegistry>,
     counter: Option<Counter>,
     state: RefCell<State>,
     events: RefCell<VecDeque<Event>>,
@@ -79,12 +79,12 @@
     /// # Errors
     /// When the settings cannot be used.
     pub fn start(
-        settings: Settings, seed: u64, backends: Rc<Backends>, counter: Option<SocketAddr>,
+        settings: Settings, seed: u64, endpoints: Rc<EndpointRegistry>, counter: Option<SocketAddr>,
     ) -> Result<Rc<Self>, SettingsError> {
         let patience = span(settings.counter_timeout) * COUNTER_PATIENCE;
         let clock = Clock::anchored();
-        let fleet_clock = FleetClock::new(settings.gateways, seed, clock.now());
-        let gateway = Gateway::new(settings, seed)?;
+        let fleet_clock = FleetClock::new(settings.gateway_count, seed, clock.now());
+        let gateway = PolicyEngine::new(settings, seed)?;
         let state = State { gateway, open: HashMap::new(), out: HashMap::new(), last: 0 };
         Ok(Rc::new_cyclic(|me: &Weak<Self>| {
             let to = me.clone();
@@ -94,7 +94,7 @@
                     if name == FleetClock::register() {
                         engine.agree(outcome);
                     } else {
-                        engine.post(Event::Counted { name, outcome, latency });
+                        engine.post(Event::CounterReply { key: name, result: outcome, latency });
                     }
                 };
                 spawn(keep_agreeing(me.clone()));
@@ -103,7 +103,7 @@
             Self {
                 clock,
                 fleet_clock: RefCell::new(fleet_clock),
-                backends,
+                endpoints,
                 counter,
                 state: RefCell::new(state),
                 events: RefCell::default(),
@@ -114,7 +114,7 @@
     }
 
     /// Takes in how a call of the fleet clock's register ended, and makes the next one if that is due at once.
-    fn agree(&self, outcome: CountOutcome) {
+    fn agree(&self, outcome: CounterResult) {
         let time = {
             let mut clock = self.fleet_clock.borrow_mut();
             clock.answered(self.clock.now(), outcome);
@@ -127,7 +127,7 @@
     fn poll_fleet_clock(&self) {
         let call = self.fleet_clock.borrow_mut().poll(self.clock.now());
         if let (Some(call), Some(counter)) = (call, &self.counter) {
-            counter.add(call.name, call.amount, call.keep);
+            counter.add(call.key, call.amount, call.ttl);
         }
     }
 
@@ -150,7 +150,7 @@
             state.open.insert(id, Open { message, client, until, reply, attempts: 0, timed_out: false });
             id
         };
-        self.post(Event::Request(arrival(id)));
+        self.post(Event::RequestArrived(arrival(id)));
         (id, receiver)
     }
 
@@ -164,13 +164,13 @@
             state.open.remove(&id).is_some()
         };
         if left {
-            self.post(Event::ClientLeft { id });
+            self.post(Event::ClientDisconnected { id });
         }
     }
 
     /// No more requests come: what is held of the quotas goes back. Takes effect within the time given.
     pub async fn hand_back(&self, time: Duration) {
-        self.post(Event::Ending);
+        self.post(Event::DrainStarted);
         tokio::time::sleep(time).await;
     }
 
@@ -197,10 +197,12 @@
 
     fn perform(&self, action: Action) {
         match action {
-            Action::Send { id, backend, timeout, written_by } => self.send(id, backend, timeout, written_by),
-            Action::Refuse { id, retry_after } => self.finish(id, |_| Reply::Refused(retry_after)),
+            Action::ForwardAttempt { id, endpoint, timeout, write_timeout: written_by } => {
+                self.send(id, endpoint, timeout, written_by)
+            }
+            Action::Reject { id, retry_after } => self.finish(id, |_| Reply::Refused(retry_after)),
             Action::Fail { id } => self.finish(id, |open| Reply::Failed(open.timed_out)),
-            Action::CallOff { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 let mut state = self.state.borrow_mut();
                 let out = state.out.get_mut(&id).filter(|out| out.number == attempt);
                 if let Some(call_off) = out.and_then(|out| out.call_off.take()) {
@@ -216,23 +218,32 @@
                     }
                 });
             }
-            Action::Probe { backend } => {
-                let (backends, me, begun) = (self.backends.clone(), self.me.clone(), Instant::now());
+            Action::HealthCheck { endpoint } => {
+                let (endpoints, me, begun) = (self.endpoints.clone(), self.me.clone(), Instant::now());
                 spawn(async move {
-                    let End { outcome, load, .. } = backends.probe(&backend).await;
+                    let End { outcome, load, .. } = endpoints.probe(&endpoint).await;
                     if let Some(engine) = me.upgrade() {
                         let latency = millis(begun.elapsed());
-                        engine.post(Event::ProbeEnded { backend, outcome, latency, load });
+                        engine.post(Event::HealthCheckEnded {
+                            endpoint,
+                            outcome,
+                            latency,
+                            load_report: load,
+                        });
                     }
                 });
             }
-            Action::Count { name, amount, keep } => match &self.counter {
+            Action::IncrementCounter { key: name, amount, ttl: keep } => match &self.counter {
                 Some(counter) => counter.add(name, amount, keep),
-                None => self.post(Event::Counted { name, outcome: CountOutcome::NotAdded, latency: 0.0 }),
+                None => self.post(Event::CounterReply {
+                    key: name,
+                    result: CounterResult::NotAdded,
+                    latency: 0.0,
+                }),
             },
             Action::Log(text) => log::write(text),
             // No peers to tell here, and the list is watched all the time.
-            Action::Tell { .. } | Action::WatchBackends => {}
+            Action::Gossip { .. } | Action::WatchEndpoints => {}
         }
     }
 
@@ -243,7 +254,7 @@
         let _ = open.reply.send(reply);
     }
 
-    fn send(&self, id: RequestId, backend: Name, timeout: Option<Millis>, written_by: Option<Millis>) {
+    fn send(&self, id: RequestId, endpoint: Name, timeout: Option<Millis>, written_by: Option<Millis>) {
         let mut state = self.state.borrow_mut();
         let State { open, out, .. } = &mut *state;
         // A request that is over, or still has an attempt out, is not sent; an end is owed all the same.
@@ -253,12 +264,12 @@
             return self.post(Event::AttemptEnded(AttemptEnd {
                 id,
                 attempt: 0,
-                backend,
-                outcome: Outcome::NeverSent,
+                endpoint,
+                outcome: Outcome::NotSent,
                 latency: 0.0,
-                true_units: None,
-                finished,
-                load: None,
+                actual_units: None,
+                request_finished: finished,
+                load_report: None,
             }));
         };
         let (number, begun) = (request.attempts, Instant::now());
@@ -268,21 +279,21 @@
         let (call_off, called_off) = oneshot::channel();
         out.insert(id, Out { number, call_off: Some(call_off) });
         let (message, client) = (request.message.clone(), request.client.clone());
-        let (backends, me) = (self.backends.clone(), self.me.clone());
+        let (endpoints, me) = (self.endpoints.clone(), self.me.clone());
         spawn(async move {
-            let end = backends.attempt(&backend, message, until, written_by, called_off, &client).await;
+            let end = endpoints.attempt(&endpoint, message, until, written_by, called_off, &client).await;
             // So that nobody decides on a further attempt.
             let left = end.answer.is_none() && client.has_left().await;
             if let Some(engine) = me.upgrade() {
                 if left {
                     engine.client_left(id);
                 }
-                engine.ended(id, number, backend, end, millis(begun.elapsed()));
+                engine.ended(id, number, endpoint, end, millis(begun.elapsed()));
             }
         });
     }
 
-    fn ended(&self, id: RequestId, attempt: u32, backend: Name, end: End, latency: Millis) {
+    fn ended(&self, id: RequestId, attempt: u32, endpoint: Name, end: End, latency: Millis) {
         let End { outcome, answer, load } = end;
         self.state.borrow_mut().out.remove(&id);
         if let Some(answer) = answer {
@@ -297,12 +308,12 @@
         self.post(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
-            backend,
+            endpoint,
             outcome,
             latency,
-            true_units,
-            finished,
-            load,
+            actual_units: true_units,
+            request_finished: finished,
+            load_report: load,
         }));
     }
 }
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,15 +1,15 @@
-//! `fennelscale`: one real gateway.
+//! `ryefront-gateway`: one real gateway.
 
 #![forbid(unsafe_code)]
 
-use fennelscale::backends::{Backends, spawn};
-use fennelscale::clients::Server;
-use fennelscale::config::Config;
-use fennelscale::discovery;
-use fennelscale::engine::Engine;
-use fennelscale::log;
-use fennelscale::signals::Signals;
-use fennelscale::socket::is_local;
+use ryefront_gateway::clients::Server;
+use ryefront_gateway::config::Config;
+use ryefront_gateway::discovery;
+use ryefront_gateway::endpoints::{EndpointRegistry, spawn};
+use ryefront_gateway::engine::Engine;
+use ryefront_gateway::log;
+use ryefront_gateway::signals::Signals;
+use ryefront_gateway::socket::is_local;
 use std::fmt::Display;
 use std::io;
 use std::net::SocketAddr;
@@ -20,9 +20,9 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-/// Descriptors for all but clients and backends: standard streams, the event loop, listener, counter, discovery.
+/// Descriptors for all but clients and endpoints: standard streams, the event loop, listener, counter, discovery.
 const OTHER_SOCKETS: usize = 32;
-/// Of the rest, the share for clients; backends get what is left.
+/// Of the rest, the share for clients; endpoints get what is left.
 const CLIENT_SHARE: f64 = 0.55;
 
 /// What the system does not give at the start (descriptors, memory, the address of a process that ended just now) is
@@ -75,7 +75,7 @@
 }
 
 fn unusable(what: &dyn Display) -> ExitCode {
-    log::write(format_args!("fennelscale: {what}"));
+    log::write(format_args!("ryefront-gateway: {what}"));
     ExitCode::from(2)
 }
 
@@ -89,25 +89,25 @@
     let sockets = config.sockets.saturating_sub(OTHER_SOCKETS).max(2);
     let most_clients = ((sockets as f64 * CLIENT_SHARE) as usize).max(1);
     let settings = config.settings;
-    let backends = Backends::new(
+    let endpoints = EndpointRegistry::new(
         config.connect_timeout,
-        config.backend_idle,
-        settings.reports,
+        config.endpoint_idle,
+        settings.load_report_source,
         sockets.saturating_sub(most_clients).max(1),
     );
-    let engine = match Engine::start(settings.clone(), config.seed, backends.clone(), config.counter) {
+    let engine = match Engine::start(settings.clone(), config.seed, endpoints.clone(), config.counter) {
         Ok(engine) => engine,
         Err(error) => return unusable(&error),
     };
     let server = Server::new(engine.clone(), &settings, most_clients);
     let seq = config.known.seq;
-    discovery::tell(config.known, &backends, &engine);
-    spawn(backends.clone().keep_tidy());
+    discovery::tell(config.known, &endpoints, &engine);
+    spawn(endpoints.clone().keep_tidy());
     let (moved, discovery) = watch::channel(config.discovery);
-    spawn(discovery::watch(discovery, seq, config.seed, config.pace, backends, engine.clone()));
+    spawn(discovery::watch(discovery, seq, config.seed, config.pace, endpoints, engine.clone()));
     spawn(reload(signals.clone(), moved, engine));
     if let Ok(address) = listener.local_addr() {
-        log::write(format_args!("fennelscale {}: listening at {address}", config.name));
+        log::write(format_args!("ryefront-gateway {}: listening at {address}", config.name));
     }
     server.serve(listener, signals.end()).await;
     ExitCode::SUCCESS
--- a/gateway/src/pool.rs
+++ b/gateway/src/pool.rs
@@ -1,13 +1,13 @@
-//! Idle connections, by backend: its cost follows the connections that are kept, not the backends that are known.
+//! Idle connections, by endpoint: its cost follows the connections that are kept, not the endpoints that are known.
 
-use doorcourse::Name;
 use rustc_hash::FxHashMap;
+use ryefront_policy::Name;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Idle connections to backends, of any kind.
+/// Idle connections to endpoints, of any kind.
 pub struct Pool<T> {
-    /// Those of one backend in the order in which they came, and since when each is idle. Never empty.
+    /// Those of one endpoint in the order in which they came, and since when each is idle. Never empty.
     idle: FxHashMap<Name, Vec<(T, Instant)>>,
     count: usize,
 }
@@ -30,33 +30,33 @@
     }
 
     /// Keeps a connection that is idle since then.
-    pub fn put(&mut self, backend: &Name, connection: T, since: Instant) {
-        self.idle.entry(backend.clone()).or_default().push((connection, since));
+    pub fn put(&mut self, endpoint: &Name, connection: T, since: Instant) {
+        self.idle.entry(endpoint.clone()).or_default().push((connection, since));
         self.count += 1;
     }
 
-    /// Takes out the connection to a backend that came last of those that have been idle for at least `rest`.
-    pub fn take(&mut self, backend: &Name, rest: Duration) -> Option<(T, Instant)> {
-        let at = self.idle.get(backend)?.iter().rposition(|(_, since)| since.elapsed() >= rest)?;
-        self.remove(backend, at)
+    /// Takes out the connection to an endpoint that came last of those that have been idle for at least `rest`.
+    pub fn take(&mut self, endpoint: &Name, rest: Duration) -> Option<(T, Instant)> {
+        let at = self.idle.get(endpoint)?.iter().rposition(|(_, since)| since.elapsed() >= rest)?;
+        self.remove(endpoint, at)
     }
 
-    /// Drops all connections to a backend.
-    pub fn clear(&mut self, backend: &Name) {
-        self.count -= self.idle.remove(backend).map_or(0, |idle| idle.len());
+    /// Drops all connections to an endpoint.
+    pub fn clear(&mut self, endpoint: &Name) {
+        self.count -= self.idle.remove(endpoint).map_or(0, |idle| idle.len());
     }
 
-    /// Drops the oldest connection to the backend with the most, if there are any.
+    /// Drops the oldest connection to the endpoint with the most, if there are any.
     pub fn evict(&mut self) {
         let fullest = self.idle.iter().max_by_key(|(_, idle)| idle.len()).map(|(name, _)| name.clone());
         fullest.and_then(|name| self.remove(&name, 0));
     }
 
-    fn remove(&mut self, backend: &Name, at: usize) -> Option<(T, Instant)> {
-        let idle = self.idle.get_mut(backend)?;
+    fn remove(&mut self, endpoint: &Name, at: usize) -> Option<(T, Instant)> {
+        let idle = self.idle.get_mut(endpoint)?;
         let removed = idle.remove(at);
         if idle.is_empty() {
-            self.idle.remove(backend);
+            self.idle.remove(endpoint);
         }
         self.count -= 1;
         Some(removed)
--- a/gateway/tests/clocks.rs
+++ b/gateway/tests/clocks.rs
@@ -2,14 +2,14 @@
 
 mod helper;
 
-use helper::{Backend, Counter, Discovery, Do, Gateway, Mood, Setup, list, ok, request, row};
+use helper::{Counter, Discovery, Do, Endpoint, Gateway, Mood, Setup, list, ok, request, row};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const HOUR_MS: i64 = 3_600_000;
 const RATE: f64 = 12.0;
 const BURST: f64 = 30.0;
 
-/// Asks for one customer's units at a gateway until then, far faster than its quota; tells how many were served.
+/// Asks for one tenant's units at a gateway until then, far faster than its quota; tells how many were served.
 async fn press(gateway: &Gateway, until: Instant) -> usize {
     let (mut client, mut served) = (gateway.client().await, 0);
     while Instant::now() < until {
@@ -23,11 +23,11 @@
 
 /// What two gateways serve of one quota, as a share of it, where one's clock is off by this much.
 async fn share_served(skew_ms: i64) -> f64 {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
     let (discovery, counter) = (Discovery::start().await, Counter::start(Mood::Adds).await);
     let mut gateways = Vec::new();
     for number in 0..2 {
-        let rows = [row("b", backend.at, "in_service")];
+        let rows = [row("b", endpoint.at, "in_service")];
         let setup = Setup { rate: RATE, burst: BURST, gateways: 2, number, ..Setup::knowing(&rows) };
         let setup = if number == 1 { setup.failing(&format!("realtime={skew_ms}")) } else { setup };
         gateways.push(Gateway::start(discovery.at, counter.at, &setup).await);
@@ -55,13 +55,13 @@
 /// How many of 100 requests go to the one server of eight that has just started, at a gateway whose clock is off.
 async fn sent_to_new_server(skew_ms: i64, known: bool) -> usize {
     const COLD_MS: u64 = 300_000;
-    let mut backends = Vec::new();
+    let mut endpoints = Vec::new();
     for _ in 0..8 {
-        backends.push(Backend::start(&[Do::Say(ok("x"))]).await);
+        endpoints.push(Endpoint::start(&[Do::Say(ok("x"))]).await);
     }
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis();
     let mut rows: Vec<_> =
-        backends.iter().enumerate().map(|(n, b)| row(&format!("b{n}"), b.at, "in_service")).collect();
+        endpoints.iter().enumerate().map(|(n, b)| row(&format!("b{n}"), b.at, "in_service")).collect();
     let new = rows.pop().expect("a row").replace(r#""born_ms":0"#, &format!(r#""born_ms":{now}"#));
     let (discovery, counter) = (Discovery::start().await, Counter::start(Mood::Adds).await);
     let before = if known { [rows.clone(), vec![new.clone()]].concat() } else { rows };
@@ -75,7 +75,7 @@
     for _ in 0..400 {
         assert_eq!(client.ask(&request("look", 2000, "", "")).await.status(), 200);
     }
-    backends[7].attempts()
+    endpoints[7].attempts()
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/gateway/tests/config.rs
+++ b/gateway/tests/config.rs
@@ -1,6 +1,6 @@
 //! What a gateway makes of the text of its configuration.
 
-use fennelscale::config::Config;
+use ryefront_gateway::config::Config;
 use std::time::Duration;
 
 /// A configuration whose settings hold these permissions and extras.
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -4,7 +4,7 @@
 mod helper;
 
 use helper::{
-    Backend, Counter, Discovery, Do, Late, Mood, Setup, World, full_line, list, ok, request, row, until,
+    Counter, Discovery, Do, Endpoint, Late, Mood, Setup, World, full_line, list, ok, request, row, until,
 };
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering::SeqCst;
@@ -17,8 +17,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_first_request_that_comes_after_idle_connections_are_closed_is_answered() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let mut world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let mut world = World::with(&[&endpoint]).await;
     let mut idle = world.gateway.client().await;
     assert_eq!(idle.ask(UP).await.status(), 200);
     world.gateway.terminate();
@@ -33,11 +33,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn further_signals_do_not_cut_the_drain_short() {
-    let backend = Backend::start(&[Do::SayLater(1500, ok("x"))]).await;
-    let mut world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::SayLater(1500, ok("x"))]).await;
+    let mut world = World::with(&[&endpoint]).await;
     let mut client = world.gateway.client().await;
     client.write(&request("order", 50_000, "", "b")).await;
-    until("the attempt", || backend.attempts() == 1).await;
+    until("the attempt", || endpoint.attempts() == 1).await;
     world.gateway.terminate();
     world.gateway.drains().await;
     world.gateway.terminate();
@@ -50,14 +50,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_that_nobody_has_read_yet_outlives_the_gateway() {
     let body = "y".repeat(60_000);
-    let backend = Backend::start(&[Do::Say(ok(&body))]).await;
-    let mut world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Say(ok(&body))]).await;
+    let mut world = World::with(&[&endpoint]).await;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(2048).expect("a small buffer");
     let stream = socket.connect(world.gateway.at).await.expect("a connection");
     let mut client = helper::Client(tokio::io::BufReader::new(stream));
     client.write(&request("order", 50_000, "", "b")).await;
-    until("the attempt", || backend.attempts() == 1).await;
+    until("the attempt", || endpoint.attempts() == 1).await;
     world.gateway.terminate();
     assert_eq!(world.gateway.ended().await.code(), Some(0));
     assert_eq!(client.read().await.body, body.as_bytes());
@@ -66,9 +66,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_comes_as_its_connection_is_closed_is_answered_or_goes_nowhere() {
     for reason in ["nothing asked", "evicted", "the end"] {
-        let backend = Backend::start(&[Do::Say(ok("x"))]).await;
+        let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
         // Room for 11; from the sixth on an idle one is evicted for each that comes.
-        let setup = Setup { sockets: 52, ..Setup::knowing(&[row("b", backend.at, "in_service")]) };
+        let setup = Setup { sockets: 52, ..Setup::knowing(&[row("b", endpoint.at, "in_service")]) };
         let world = World::set(&setup.patient(200_000), Mood::Adds).await;
         let mut client = world.gateway.client().await;
         assert_eq!(client.ask(UP).await.status(), 200);
@@ -91,14 +91,14 @@
         // A client whose request was not read sends it once more elsewhere: then it must not have gone on.
         let reply = helper::soon("an answer or the end", helper::hear(&mut client.0)).await;
         let answered = reply.is_some_and(|reply| reply.body == b"x");
-        assert_eq!(backend.attempts(), usize::from(answered), "{reason}");
+        assert_eq!(endpoint.attempts(), usize::from(answered), "{reason}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn who_connects_while_blocks_go_back_at_the_end_is_answered() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let setup = Setup { rate: 0.01, burst: 10.0, ..Setup::knowing(&[row("b", backend.at, "in_service")]) };
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let setup = Setup { rate: 0.01, burst: 10.0, ..Setup::knowing(&[row("b", endpoint.at, "in_service")]) };
     loop {
         let mut world = World::set(&setup, Mood::Adds).await;
         let text = request("order", 50_000, "", "b");
@@ -123,8 +123,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_block_that_comes_after_the_others_went_back_serves_who_waits_for_it() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let setup = Setup { rate: 0.01, burst: 10.0, ..Setup::knowing(&[row("b", backend.at, "in_service")]) };
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let setup = Setup { rate: 0.01, burst: 10.0, ..Setup::knowing(&[row("b", endpoint.at, "in_service")]) };
     let mut world = World::set(&setup.patient(200_000), Mood::Held).await;
     let mut client = world.gateway.client().await;
     client.write(&request("order", 500_000, "", "b")).await;
@@ -144,14 +144,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn half_a_line_from_a_backend_and_all_signals_at_once_do_not_spoil_the_end() {
+async fn half_a_line_from_an_endpoint_and_all_signals_at_once_do_not_spoil_the_end() {
     for (half, status) in [("HTTP/1.1 200 OK\r\nContent-Le", 502), ("HTTP/1.1 200 OK\r\n\r\nhalf", 502)] {
-        let backend = Backend::start(&[Do::SayAndThen(half.into(), 60_000, String::new())]).await;
-        let setup = Setup::knowing(&[row("b", backend.at, "in_service")]).patient(200_000);
+        let endpoint = Endpoint::start(&[Do::SayAndThen(half.into(), 60_000, String::new())]).await;
+        let setup = Setup::knowing(&[row("b", endpoint.at, "in_service")]).patient(200_000);
         let mut world = World::set(&setup, Mood::Adds).await;
         let mut client = world.gateway.client().await;
         client.write(&request("order", 500_000, "", "b")).await;
-        until("the attempt", || backend.attempts() == 1).await;
+        until("the attempt", || endpoint.attempts() == 1).await;
         world.gateway.freeze();
         world.gateway.terminate();
         world.gateway.hang_up();
@@ -168,8 +168,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn discovery_that_was_silent_is_asked_often_and_without_waiting() {
-    let backend = Backend::start(&[Do::SayLater(10_000, ok("x"))]).await;
-    let mut setup = Setup::knowing(&[row("b", backend.at, "in_service")]);
+    let endpoint = Endpoint::start(&[Do::SayLater(10_000, ok("x"))]).await;
+    let mut setup = Setup::knowing(&[row("b", endpoint.at, "in_service")]);
     setup.edits = vec![(r#""rules":{"#, r#""rules":{"drain-grace-ms":1000,"#.into())];
     let world = World::set(&setup, Mood::Adds).await;
     let calls = || world.discovery.calls.load(SeqCst);
@@ -184,7 +184,7 @@
         _ = busy.read() => panic!("only {} calls in 10 s", calls() - before),
     }
     // What the agent learnt meanwhile comes with the next, and then calls may wait for news.
-    world.discovery.tell(list(2, true, &[row("b", backend.at, "terminating")]));
+    world.discovery.tell(list(2, true, &[row("b", endpoint.at, "terminating")]));
     world.discovery.taken_in().await;
     until("a call that waits", || {
         world.discovery.asked.lock().expect("lock").contains("after=2&wait_ms=333 ")
@@ -194,8 +194,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_list_that_cannot_be_read_is_told_once_also_after_other_faults() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let world = World::with(&[&endpoint]).await;
     until("a fault", || world.gateway.log_lines("discovery: silent") == 1).await;
     for (seq, text) in [(2, "{"), (3, r#"{"seq":3,"whole":true,"hosts":[{"host":"b","dial":"nowhere"}]}"#)] {
         world.discovery.tell(text.into());
@@ -212,9 +212,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_longer_than_any_list_changes_nothing_and_of_two_entries_for_a_backend_the_last_counts() {
+async fn an_answer_longer_than_any_list_changes_nothing_and_of_two_entries_for_an_endpoint_the_last_counts() {
     let (old, new) =
-        (Backend::start(&[Do::Say(ok("old"))]).await, Backend::start(&[Do::Say(ok("new"))]).await);
+        (Endpoint::start(&[Do::Say(ok("old"))]).await, Endpoint::start(&[Do::Say(ok("new"))]).await);
     let setup = Setup::knowing(&[row("b0", old.at, "in_service")]).patient(200_000);
     let world = World::set(&setup, Mood::Adds).await;
     // As long as it is said to be, and good JSON.
@@ -234,7 +234,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_indented_list_whose_call_crosses_sighup_is_taken_from_the_new_place() {
     let (old, new) =
-        (Backend::start(&[Do::Say(ok("old"))]).await, Backend::start(&[Do::Say(ok("new"))]).await);
+        (Endpoint::start(&[Do::Say(ok("old"))]).await, Endpoint::start(&[Do::Say(ok("new"))]).await);
     let mut world = World::with(&[&old]).await;
     until("a call", || world.discovery.calls.load(SeqCst) > 0).await;
     let discovery = Discovery::start().await;
@@ -249,13 +249,14 @@
     assert!(discovery.asked.lock().expect("lock").contains("after=1&"));
 }
 
-// ---- Connections to backends ----
+// ---- Connections to endpoints ----
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_second_answer_that_comes_late_is_not_taken_for_that_of_the_next_request() {
     loop {
-        let backend = Backend::start(&[Do::SayAndThen(ok("good"), 15, ok("bad")), Do::Say(ok("good"))]).await;
-        let world = World::with(&[&backend]).await;
+        let endpoint =
+            Endpoint::start(&[Do::SayAndThen(ok("good"), 15, ok("bad")), Do::Say(ok("good"))]).await;
+        let world = World::with(&[&endpoint]).await;
         let mut client = world.gateway.client().await;
         assert_eq!(client.ask(&request("order", 900, "", "b")).await.body, b"good");
         let answered = Instant::now();
@@ -263,7 +264,7 @@
         assert_eq!(client.ask(&request("order", 900, "", "b")).await.body, b"good");
         // On a machine that was too slow to bring the two together nothing was shown.
         if answered.elapsed() < Duration::from_millis(15) {
-            return assert_eq!((backend.attempts(), backend.opened()), (2, 2));
+            return assert_eq!((endpoint.attempts(), endpoint.opened()), (2, 2));
         }
     }
 }
@@ -273,19 +274,19 @@
     let progress = "HTTP/1.1 102 Processing\r\n\r\n".to_owned();
     let endless = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx".to_owned();
     for (text, status) in [(progress, 504), (endless, 502)] {
-        let backend = Backend::start(&[Do::Repeat(text)]).await;
-        let world = World::with(&[&backend]).await;
+        let endpoint = Endpoint::start(&[Do::Repeat(text)]).await;
+        let world = World::with(&[&endpoint]).await;
         let mut client = world.gateway.client().await;
         assert_eq!(client.ask(&request("order", 900, "", "b")).await.status(), status);
         client.stays_quiet().await;
-        until("the end of that connection", || backend.closed() == 1).await;
-        assert_eq!(backend.attempts(), 1);
+        until("the end of that connection", || endpoint.closed() == 1).await;
+        assert_eq!(endpoint.attempts(), 1);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_late_connection_whose_backend_drains_or_moved_meanwhile_carries_nothing() {
-    let other = Backend::start(&[Do::Say(ok("other"))]).await;
+async fn a_late_connection_whose_endpoint_drains_or_moved_meanwhile_carries_nothing() {
+    let other = Endpoint::start(&[Do::Say(ok("other"))]).await;
     let away = |health| move |at, other| vec![row("b", at, health), row("other", other, "in_service")];
     let missing = |_, other| vec![row("other", other, "in_service")];
     let moved = |_, other| vec![row("b", other, "in_service")];
@@ -338,7 +339,7 @@
 async fn a_late_connection_of_a_request_that_was_answered_elsewhere_carries_nothing() {
     let (listener, line) = full_line().await;
     let at = listener.local_addr().expect("an address");
-    let other = Backend::start(&[Do::Say(ok("other"))]).await;
+    let other = Endpoint::start(&[Do::Say(ok("other"))]).await;
     let mut setup = Setup::knowing(&[row("b", at, "in_service")]).patient(200_000);
     setup.edits.push((r#""dial-timeout-ms":200000"#, r#""dial-timeout-ms":2000"#.into()));
     let world = World::set(&setup, Mood::Adds).await;
@@ -381,8 +382,8 @@
     ];
     for (whole, reset, text) in cases {
         let cut = if reset { Do::SayAndReset(text.clone()) } else { Do::SayAndClose(text.clone()) };
-        let backend = Backend::start(&[cut.clone(), cut, Do::Say(ok("again"))]).await;
-        let setup = Setup::knowing(&[row("b", backend.at, "in_service")]).patient(200_000);
+        let endpoint = Endpoint::start(&[cut.clone(), cut, Do::Say(ok("again"))]).await;
+        let setup = Setup::knowing(&[row("b", endpoint.at, "in_service")]).patient(200_000);
         let world = World::set(&setup, Mood::Adds).await;
         let mut client = world.gateway.client().await;
         let reply = client.ask(&request("order", 50_000, "", "b")).await;
@@ -395,7 +396,7 @@
         let expected: &[u8] = if whole { b"whole" } else { b"again" };
         assert_eq!(client.ask(&request("look", 50_000, "", "")).await.body, expected, "{text}, {reset}");
         client.stays_quiet().await;
-        assert_eq!(backend.attempts(), if whole { 2 } else { 3 }, "{text}, {reset}");
+        assert_eq!(endpoint.attempts(), if whole { 2 } else { 3 }, "{text}, {reset}");
     }
 }
 
@@ -403,19 +404,19 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_that_is_out_when_the_counter_moves_gets_its_answer_from_the_old_place() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let setup = Setup { burst: 8.0, rate: 0.001, ..Setup::knowing(&[row("b", backend.at, "in_service")]) };
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let setup = Setup { burst: 8.0, rate: 0.001, ..Setup::knowing(&[row("b", endpoint.at, "in_service")]) };
     let mut world = World::set(&setup.patient(200_000), Mood::Held).await;
     let mut early = world.gateway.client().await;
     early.write(&request("order", 50_000, "", "b")).await;
     until("the call", || world.counter.calls.load(SeqCst) == 1).await;
     let counter = Counter::start(Mood::Adds).await;
     world.gateway.reconfigure(&[(world.counter.at.to_string(), counter.at.to_string())]).await;
-    // Another of the same customer while the call is out: it waits for the same answer, and nothing is added twice.
+    // Another of the same tenant while the call is out: it waits for the same answer, and nothing is added twice.
     let mut late = world.gateway.client().await;
     late.write(&request("order", 50_000, "", "b")).await;
     assert_eq!(world.gateway.client().await.ask(UP).await.status(), 200);
-    assert_eq!((counter.calls.load(SeqCst), backend.attempts()), (0, 0));
+    assert_eq!((counter.calls.load(SeqCst), endpoint.attempts()), (0, 0));
     *world.counter.mood.lock().expect("lock") = Mood::Adds;
     assert_eq!((early.read().await.status(), late.read().await.status()), (200, 200));
     let added: f64 = world.counter.totals.lock().expect("lock").values().sum();
@@ -427,8 +428,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn names_of_classes_and_plans_may_need_care_on_the_wire() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let mut setup = Setup::knowing(&[row("b", backend.at, "in_service")]);
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let mut setup = Setup::knowing(&[row("b", endpoint.at, "in_service")]);
     setup.edits = vec![
         (r#""name":"order""#, r#""name":"ord\u00e9r 50%\/b""#.into()),
         (r#""name":"p""#, r#""name":"gro\u00df & co""#.into()),
@@ -436,24 +437,27 @@
     let world = World::set(&setup, Mood::Adds).await;
     let mut client = world.gateway.client().await;
     for path in ["/ord%C3%A9r%2050%25%2fb", "/ord%c3%a9r%2050%25%2Fb"] {
-        let text =
-            request("order", 900, "", "b").replace("/order", path).replace("Plan: p", "Plan: groß & co");
+        let text = request("order", 900, "", "b")
+            .replace("/order", path)
+            .replace("Plan: p", "Plan: groß & co");
         assert_eq!(client.ask(&text).await.status(), 200);
     }
     for wrong in ["/order", "/ord%C3%A9r%2050%25", "/ord%C3%A9r%2050%2fb", "/ord%C3%A9r%2050%25/b"] {
-        let text =
-            request("order", 900, "", "b").replace("/order", wrong).replace("Plan: p", "Plan: groß & co");
+        let text = request("order", 900, "", "b")
+            .replace("/order", wrong)
+            .replace("Plan: p", "Plan: groß & co");
         assert_eq!(world.gateway.client().await.ask(&text).await.status(), 400, "{wrong}");
     }
-    let heard = backend.heard.lock().expect("lock");
+    let heard = endpoint.heard.lock().expect("lock");
     assert_eq!(heard.len(), 2);
     assert!(heard[0].line.starts_with("POST /ord%C3%A9r%2050%25%2fb/a%20b?c=d "), "{}", heard[0].line);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn where_advice_is_not_allowed_a_refusal_carries_none() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let mut setup = Setup { burst: 1.0, rate: 0.01, ..Setup::knowing(&[row("b", backend.at, "in_service")]) };
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let mut setup =
+        Setup { burst: 1.0, rate: 0.01, ..Setup::knowing(&[row("b", endpoint.at, "in_service")]) };
     for (more, advised) in [("", true), (r#","retry-after":true"#, true), (r#","retry-after":false"#, false)]
     {
         setup.edits = vec![(r#""most-tries":6"#, format!(r#""most-tries":6{more}"#))];
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -1,14 +1,13 @@
-//! How the watch on the list of backends paces its calls.
+//! How the watch on the list of endpoints paces its calls.
 
 mod helper;
 
-use doorcourse::Reports;
-use doorcourse_simhost::settings;
-use fennelscale::backends::Backends;
-use fennelscale::backoff::{CONNECT_TIMEOUT, Failure, Pace, Retry};
-use fennelscale::discovery::{self, List};
-use fennelscale::engine::Engine;
-use helper::{Backend, Do, World, list, ok, refusing, row};
+use helper::{Do, Endpoint, World, list, ok, refusing, row};
+use ryefront_gateway::backoff::{CONNECT_TIMEOUT, Failure, Pace, Retry};
+use ryefront_gateway::discovery::{self, List};
+use ryefront_gateway::endpoints::EndpointRegistry;
+use ryefront_gateway::engine::Engine;
+use ryefront_policy::LoadReportSource;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::task::LocalSet;
@@ -138,16 +137,18 @@
         let (socket, at) = refusing();
         let settings = r#"{"fleet-size":1,"my-number":0,"discovery":"on_request",
             "classes":[{"name":"look","effect":"idempotent","goal-time-ms":800,"worth":1}]}"#;
-        let settings = settings::read(&serde_json::from_str(settings).expect("JSON")).expect("settings");
-        let backends = Backends::new(Duration::from_secs(1), Duration::from_secs(1), Reports::None, 10);
-        let engine = Engine::start(settings, seed, backends.clone(), None).expect("an engine");
+        let settings =
+            ryefront_settings::read(&serde_json::from_str(settings).expect("JSON")).expect("settings");
+        let endpoints =
+            EndpointRegistry::new(Duration::from_secs(1), Duration::from_secs(1), LoadReportSource::None, 10);
+        let engine = Engine::start(settings, seed, endpoints.clone(), None).expect("an engine");
         let (_moved, address) = watch::channel(at);
-        tokio::task::spawn_local(discovery::watch(address, 1, seed, pace, backends, engine));
+        tokio::task::spawn_local(discovery::watch(address, 1, seed, pace, endpoints, engine));
         let start = Instant::now();
         while start.elapsed() < refuses {
             step().await;
         }
-        let service = Backend::serve(socket.listen(64).expect("a listener"), deeds);
+        let service = Endpoint::serve(socket.listen(64).expect("a listener"), deeds);
         while service.attempts() < reachable {
             step().await;
         }
--- a/gateway/tests/backends.rs
+++ b/gateway/tests/endpoints.rs
@@ -2,9 +2,9 @@
 
 mod helper;
 
-use fennelscale::connection::{Connection, Progress};
-use helper::{Backend, Do, Gateway, Mood, Setup, World, list, ok, pause, refusing, request, row};
+use helper::{Do, Endpoint, Gateway, Mood, Setup, World, list, ok, pause, refusing, request, row};
 use http_body_util::Full;
+use ryefront_gateway::connection::{Connection, Progress};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -37,8 +37,8 @@
         Do::Say(long_head()),
     ] {
         let (a, b) = (
-            Backend::start(std::slice::from_ref(&deed)).await,
-            Backend::start(std::slice::from_ref(&deed)).await,
+            Endpoint::start(std::slice::from_ref(&deed)).await,
+            Endpoint::start(std::slice::from_ref(&deed)).await,
         );
         let world = World::with(&[&a, &b]).await;
         let mut client = world.gateway.client().await;
@@ -52,8 +52,8 @@
 async fn a_safe_request_is_sent_once_more_after_any_end() {
     for deed in [Do::Say(ERROR.into()), Do::SayAndClose(String::new()), Do::SayAndClose(CUT.into())] {
         let (a, b) = (
-            Backend::start(std::slice::from_ref(&deed)).await,
-            Backend::start(std::slice::from_ref(&deed)).await,
+            Endpoint::start(std::slice::from_ref(&deed)).await,
+            Endpoint::start(std::slice::from_ref(&deed)).await,
         );
         let world = World::with(&[&a, &b]).await;
         let mut client = world.gateway.client().await;
@@ -66,9 +66,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unsafe_request_that_was_turned_away_goes_to_another_backend() {
+async fn an_unsafe_request_that_was_turned_away_goes_to_another_endpoint() {
     let full = [Do::Say(FULL.into()), Do::Say(ok("second"))];
-    let (a, b) = (Backend::start(&full).await, Backend::start(&[Do::Say(ok("first"))]).await);
+    let (a, b) = (Endpoint::start(&full).await, Endpoint::start(&[Do::Say(ok("first"))]).await);
     let world = World::with(&[&a, &b]).await;
     let mut client = world.gateway.client().await;
     for _ in 0..10 {
@@ -78,9 +78,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_backend_that_takes_no_connection_costs_no_request() {
+async fn an_endpoint_that_takes_no_connection_costs_no_request() {
     let (_held, gone) = refusing();
-    let live = Backend::start(&[Do::Say(ok("x"))]).await;
+    let live = Endpoint::start(&[Do::Say(ok("x"))]).await;
     let rows = [row("a", gone, "in_service"), row("b", live.at, "in_service")];
     let world = World::set(&Setup::knowing(&rows), Mood::Adds).await;
     let mut client = world.gateway.client().await;
@@ -91,48 +91,48 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_free_connection_that_its_backend_closed_is_not_written_to() {
-    let backend = Backend::start(&[Do::SayAndClose(ok("x"))]).await;
-    // A connection that does not come up in time on a busy machine would pass the only backend over.
-    let setup = Setup::knowing(&[row("b", backend.at, "in_service")]).patient(50_000);
+async fn a_free_connection_that_its_endpoint_closed_is_not_written_to() {
+    let endpoint = Endpoint::start(&[Do::SayAndClose(ok("x"))]).await;
+    // A connection that does not come up in time on a busy machine would pass the only endpoint over.
+    let setup = Setup::knowing(&[row("b", endpoint.at, "in_service")]).patient(50_000);
     let world = World::set(&setup, Mood::Adds).await;
     let mut client = world.gateway.client().await;
     for n in 1..=10 {
         assert_eq!(client.ask(&request("order", 50_000, "", "b")).await.status(), 200);
-        helper::until("the backend's close", || backend.closed() == n).await;
+        helper::until("the endpoint's close", || endpoint.closed() == n).await;
     }
-    assert_eq!(backend.attempts(), 10);
+    assert_eq!(endpoint.attempts(), 10);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn once_a_backend_drains_or_is_gone_it_hears_nothing_new() {
+async fn once_an_endpoint_drains_or_is_gone_it_hears_nothing_new() {
     let gone = |at| list(2, false, &[row("b0", at, "terminated")]);
     let drains = |at| list(2, false, &[row("b0", at, "terminating")]);
     let missing = |_| list(2, true, &[]);
     for told in [&drains as &dyn Fn(_) -> String, &gone, &missing] {
-        let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-        let world = World::with(&[&backend]).await;
+        let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+        let world = World::with(&[&endpoint]).await;
         let mut client = world.gateway.client().await;
         assert_eq!(client.ask(&request("look", 900, "", "")).await.status(), 200);
         world.discovery.taken_in().await;
-        world.discovery.tell(told(backend.at));
+        world.discovery.tell(told(endpoint.at));
         world.discovery.taken_in().await;
-        helper::until("the free connection's end", || backend.closed() == 1).await;
+        helper::until("the free connection's end", || endpoint.closed() == 1).await;
         let reply = client.ask(&request("look", 900, "", "")).await;
         assert_eq!(reply.status(), 429);
-        assert_eq!(backend.attempts(), 1);
+        assert_eq!(endpoint.attempts(), 1);
         // Back in service it is used again.
-        world.discovery.tell(list(3, false, &[row("b0", backend.at, "in_service")]));
+        world.discovery.tell(list(3, false, &[row("b0", endpoint.at, "in_service")]));
         world.discovery.taken_in().await;
         assert_eq!(client.ask(&request("look", 900, "", "")).await.status(), 200);
-        assert_eq!(backend.attempts(), 2);
+        assert_eq!(endpoint.attempts(), 2);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_list_that_cannot_be_read_changes_nothing_and_the_watch_goes_on() {
     let (old, new) =
-        (Backend::start(&[Do::Say(ok("old"))]).await, Backend::start(&[Do::Say(ok("new"))]).await);
+        (Endpoint::start(&[Do::Say(ok("old"))]).await, Endpoint::start(&[Do::Say(ok("new"))]).await);
     let world = World::with(&[&old]).await;
     let mut client = world.gateway.client().await;
     for text in
@@ -150,8 +150,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_of_the_watch_that_is_never_answered_is_made_again_before_its_news_is_old() {
-    let (old, new) =
-        (Backend::start(&[Do::SayLater(6000, ok("old"))]).await, Backend::start(&[Do::Say(ok("new"))]).await);
+    let (old, new) = (
+        Endpoint::start(&[Do::SayLater(6000, ok("old"))]).await,
+        Endpoint::start(&[Do::Say(ok("new"))]).await,
+    );
     let world = World::with(&[&old]).await;
     world.discovery.taken_in().await;
     let mut busy = world.gateway.client().await;
@@ -170,15 +172,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn what_is_known_is_enough_to_serve_without_discovery_or_counter() {
     let (_held, nobody) = refusing();
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let setup = Setup::knowing(&[row("b", backend.at, "in_service")]);
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let setup = Setup::knowing(&[row("b", endpoint.at, "in_service")]);
     let gateway = Gateway::start(nobody, nobody, &setup).await;
     let mut client = gateway.client().await;
     assert_eq!(client.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").await.status(), 200);
     for _ in 0..5 {
         assert_eq!(client.ask(&request("order", 900, "", "b")).await.status(), 200);
     }
-    assert_eq!(backend.attempts(), 5);
+    assert_eq!(endpoint.attempts(), 5);
 }
 
 #[tokio::test]
@@ -202,75 +204,75 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_time_out_casts_doubt_on_the_free_connections_to_that_backend() {
-    let backend = Backend::start(&[Do::SayLater(300, ok("x"))]).await;
-    let world = World::with(&[&backend]).await;
+async fn a_time_out_casts_doubt_on_the_free_connections_to_that_endpoint() {
+    let endpoint = Endpoint::start(&[Do::SayLater(300, ok("x"))]).await;
+    let world = World::with(&[&endpoint]).await;
     let (mut one, mut two) = (world.gateway.client().await, world.gateway.client().await);
     let (first, second) = (request("look", 900, "", ""), request("look", 900, "", ""));
     let (first, second) = tokio::join!(one.ask(&first), two.ask(&second));
-    assert_eq!((first.status(), second.status(), backend.opened(), backend.closed()), (200, 200, 2, 0));
-    *backend.deeds.lock().expect("lock") = vec![Do::Hang];
+    assert_eq!((first.status(), second.status(), endpoint.opened(), endpoint.closed()), (200, 200, 2, 0));
+    *endpoint.deeds.lock().expect("lock") = vec![Do::Hang];
     // A free connection rests for a moment before it is used again.
     pause(50).await;
     assert_eq!(one.ask(&request("order", 700, "", "b")).await.status(), 504);
-    helper::until("the end of both connections", || backend.closed() == 2).await;
-    assert_eq!(backend.attempts(), 3);
+    helper::until("the end of both connections", || endpoint.closed() == 2).await;
+    assert_eq!(endpoint.attempts(), 3);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn spoilt_answers_from_all_alike_leave_the_fleet_in_use() {
     // One stands for all: left alone for as long as a cut answer took, it would be missed by the next request.
     let spoilt = [Do::Say(GARBAGE.into()), Do::Say(CUT.into()), Do::Say(CUT.into()), Do::Say(ok("x"))];
-    let backend = Backend::start(&spoilt).await;
-    let world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&spoilt).await;
+    let world = World::with(&[&endpoint]).await;
     let mut client = world.gateway.client().await;
     for status in [502, 502, 502, 200] {
         // Unsafe, so that each is sent once.
         assert_eq!(client.ask(&request("order", 900, "", "b")).await.status(), status);
     }
     // What carried a spoilt answer carries nothing more.
-    assert_eq!((backend.attempts(), backend.opened()), (4, 4));
+    assert_eq!((endpoint.attempts(), endpoint.opened()), (4, 4));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn connections_that_break_under_requests_leave_the_backend_in_use() {
+async fn connections_that_break_under_requests_leave_the_endpoint_in_use() {
     // One stands for all. Left alone, it would be missed for longer than a request is held.
     let breaks = Do::SayAndClose(String::new());
     let deeds = [breaks.clone(), Do::Say(ok("one")), breaks.clone(), breaks, Do::Say(ok("two"))];
-    let backend = Backend::start(&deeds).await;
-    let rows = [row("b", backend.at, "in_service")];
+    let endpoint = Endpoint::start(&deeds).await;
+    let rows = [row("b", endpoint.at, "in_service")];
     let world = World::set(&Setup { cold: 60_000, ..Setup::knowing(&rows) }, Mood::Adds).await;
     let mut client = world.gateway.client().await;
-    // Safe: it has a second try on the same backend.
+    // Safe: it has a second try on the same endpoint.
     assert_eq!(client.ask(&request("look", 900, "", "")).await.body, b"one");
     assert_eq!(client.ask(&request("order", 900, "", "b")).await.status(), 502);
     assert_eq!(client.ask(&request("order", 900, "", "b")).await.status(), 502);
     assert_eq!(client.ask(&request("order", 900, "", "b")).await.body, b"two");
-    assert_eq!(backend.attempts(), 5);
+    assert_eq!(endpoint.attempts(), 5);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_backend_that_breaks_every_connection_is_left_alone() {
-    let backend = Backend::start(&[Do::SayAndClose(String::new())]).await;
-    let rows = [row("b", backend.at, "in_service")];
+async fn an_endpoint_that_breaks_every_connection_is_left_alone() {
+    let endpoint = Endpoint::start(&[Do::SayAndClose(String::new())]).await;
+    let rows = [row("b", endpoint.at, "in_service")];
     let world = World::set(&Setup { cold: 600_000, ..Setup::knowing(&rows) }, Mood::Adds).await;
     let mut client = world.gateway.client().await;
     for status in [502, 502, 502, 429, 429] {
         assert_eq!(client.ask(&request("order", 900, "", "b")).await.status(), status);
     }
-    assert_eq!(backend.attempts(), 3);
+    assert_eq!(endpoint.attempts(), 3);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn where_kept_connections_broke_at_an_age_new_ones_are_made_for_a_while() {
     let breaks = Do::SayAndClose(String::new());
-    let backend = Backend::start(&[Do::Say(ok("x")), breaks, Do::Say(ok("x"))]).await;
-    let world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Say(ok("x")), breaks, Do::Say(ok("x"))]).await;
+    let world = World::with(&[&endpoint]).await;
     let mut client = world.gateway.client().await;
     // The second finds a connection that stands, and breaks; the third makes one; the fourth finds it old.
     for (status, opened) in [(200, 1), (502, 1), (200, 2), (200, 3), (200, 4)] {
         assert_eq!(client.ask(&request("order", 900, "", "b")).await.status(), status);
-        assert_eq!(backend.opened(), opened);
+        assert_eq!(endpoint.opened(), opened);
         pause(450).await;
     }
     // Young ones are used as ever.
@@ -278,33 +280,33 @@
         assert_eq!(client.ask(&request("order", 900, "", "b")).await.status(), 200);
         pause(30).await;
     }
-    assert_eq!((backend.attempts(), backend.opened()), (8, 5));
+    assert_eq!((endpoint.attempts(), endpoint.opened()), (8, 5));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_good_answer_with_more_behind_it_is_served_and_its_connection_dropped() {
     let good = ok("good");
     for text in [good.clone() + &ok("bad"), good.clone() + "#~ noise", good.clone() + "HTTP/1.1 200"] {
-        let backend = Backend::start(&[Do::Say(text.clone()), Do::Say(good.clone())]).await;
-        let world = World::with(&[&backend]).await;
+        let endpoint = Endpoint::start(&[Do::Say(text.clone()), Do::Say(good.clone())]).await;
+        let world = World::with(&[&endpoint]).await;
         let mut client = world.gateway.client().await;
         for _ in 0..2 {
             assert_eq!(client.ask(&request("order", 900, "", "b")).await.body, b"good", "{text}");
         }
         client.stays_quiet().await;
-        assert_eq!((backend.attempts(), backend.opened()), (2, 2), "{text}");
+        assert_eq!((endpoint.attempts(), endpoint.opened()), (2, 2), "{text}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn what_comes_behind_an_answer_a_moment_later_answers_nothing_else() {
-    let backend = Backend::start(&[Do::SayAndThen(ok("good"), 2, ok("bad")), Do::Say(ok("good"))]).await;
-    let world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::SayAndThen(ok("good"), 2, ok("bad")), Do::Say(ok("good"))]).await;
+    let world = World::with(&[&endpoint]).await;
     let mut client = world.gateway.client().await;
     for _ in 0..2 {
         assert_eq!(client.ask(&request("order", 900, "", "b")).await.body, b"good");
     }
-    assert_eq!((backend.attempts(), backend.opened()), (2, 2));
+    assert_eq!((endpoint.attempts(), endpoint.opened()), (2, 2));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -314,12 +316,12 @@
     for load in loads {
         let answer = format!("HTTP/1.1 200 OK\r\nSrv-Load: {load}\r\nContent-Length: 4\r\n\r\ngood");
         let deeds = [Do::SayAndThen(early.clone(), 400, answer.clone()), Do::Say(early.clone() + &answer)];
-        let backend = Backend::start(&deeds).await;
-        let world = World::with(&[&backend]).await;
+        let endpoint = Endpoint::start(&deeds).await;
+        let world = World::with(&[&endpoint]).await;
         let mut client = world.gateway.client().await;
         for _ in 0..2 {
             assert_eq!(client.ask(&request("order", 900, "", "b")).await.body, b"good", "{load}");
         }
-        assert_eq!(backend.attempts(), 2);
+        assert_eq!(endpoint.attempts(), 2);
     }
 }
--- a/gateway/tests/faults.rs
+++ b/gateway/tests/faults.rs
@@ -3,7 +3,7 @@
 
 mod helper;
 
-use helper::{Backend, Do, Gateway, Mood, Setup, World, ok, pause, request, row, until};
+use helper::{Do, Endpoint, Gateway, Mood, Setup, World, ok, pause, request, row, until};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -66,11 +66,11 @@
     tally
 }
 
-/// No id was heard twice, in any class: nothing fails at the backends, so nothing is to be repeated.
-fn assert_none_twice(backends: &[&Backend]) {
+/// No id was heard twice, in any class: nothing fails at the endpoints, so nothing is to be repeated.
+fn assert_none_twice(endpoints: &[&Endpoint]) {
     let mut heard = HashMap::new();
-    for backend in backends {
-        for message in backend.heard.lock().expect("lock").iter() {
+    for endpoint in endpoints {
+        for message in endpoint.heard.lock().expect("lock").iter() {
             *heard.entry(message.headers["req-id"].clone()).or_insert(0) += 1;
         }
     }
@@ -78,26 +78,26 @@
     assert!(twice.is_empty(), "{twice:?}");
 }
 
-async fn backends() -> [Backend; 3] {
+async fn endpoints() -> [Endpoint; 3] {
     let deeds = [Do::SayLater(2, ok("x"))];
-    [Backend::start(&deeds).await, Backend::start(&deeds).await, Backend::start(&deeds).await]
+    [Endpoint::start(&deeds).await, Endpoint::start(&deeds).await, Endpoint::start(&deeds).await]
 }
 
-fn setup(backends: &[Backend]) -> Setup {
+fn setup(endpoints: &[Endpoint]) -> Setup {
     let rows: Vec<_> =
-        backends.iter().enumerate().map(|(n, b)| row(&format!("b{n}"), b.at, "in_service")).collect();
+        endpoints.iter().enumerate().map(|(n, b)| row(&format!("b{n}"), b.at, "in_service")).collect();
     Setup { rate: 100_000.0, burst: 100_000.0, ..Setup::knowing(&rows) }
 }
 
 /// Plays requests under faults on each of some seeds; all must be served, once.
 async fn all_are_served(faults: &str) {
     for seed in [1, 2] {
-        let backends = backends().await;
+        let endpoints = endpoints().await;
         let faults = format!("seed={seed};{faults}");
-        let world = World::set(&setup(&backends).failing(&faults), Mood::Adds).await;
+        let world = World::set(&setup(&endpoints).failing(&faults), Mood::Adds).await;
         let tally = play(&world.gateway, REQUESTS).await;
         assert_eq!((tally.lost, tally.of(200)), (0, CLIENTS * REQUESTS), "{faults}: {tally:?}");
-        assert_none_twice(&backends.each_ref());
+        assert_none_twice(&endpoints.each_ref());
     }
 }
 
@@ -133,28 +133,28 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_moment_without_local_ports_or_routes_takes_no_backend_out_of_use() {
+async fn a_moment_without_local_ports_or_routes_takes_no_endpoint_out_of_use() {
     for fault in ["connect=EADDRNOTAVAIL/1000", "connect=ENETUNREACH/1000", "socket=EMFILE/1000"] {
-        let backends = backends().await;
+        let endpoints = endpoints().await;
         let faults = format!("{fault}@500-1500");
         let world =
-            World::set(&Setup { cold: 60_000, ..setup(&backends) }.failing(&faults), Mood::Adds).await;
+            World::set(&Setup { cold: 60_000, ..setup(&endpoints) }.failing(&faults), Mood::Adds).await;
         pause(700).await;
         let tally = play(&world.gateway, 3).await;
         assert_eq!(tally.lost, 0, "{fault}: {tally:?}");
-        // What failed is over, and says nothing of any backend.
+        // What failed is over, and says nothing of any endpoint.
         pause(900).await;
         let tally = play(&world.gateway, 3).await;
         assert_eq!((tally.lost, tally.of(200)), (0, 3 * CLIENTS), "{fault}: {tally:?}");
-        assert_none_twice(&backends.each_ref());
+        assert_none_twice(&endpoints.each_ref());
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_gateway_starts_though_its_first_sockets_fail() {
-    let backends = backends().await;
+    let endpoints = endpoints().await;
     let faults = "socket=ENFILE/1000@0-300;setsockopt=ENOBUFS/500@0-600;epoll_ctl=ENOMEM/500@0-600";
-    let world = World::set(&setup(&backends).failing(faults), Mood::Adds).await;
+    let world = World::set(&setup(&endpoints).failing(faults), Mood::Adds).await;
     pause(700).await;
     let tally = play(&world.gateway, 3).await;
     assert_eq!((tally.lost, tally.of(200)), (0, 3 * CLIENTS), "{tally:?}");
@@ -162,15 +162,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn signals_are_heard_though_calls_are_interrupted() {
-    let backends = backends().await;
+    let endpoints = endpoints().await;
     let mut world =
-        World::set(&setup(&backends).failing("recv=EINTR/200;epoll_wait=EINTR/300"), Mood::Adds).await;
+        World::set(&setup(&endpoints).failing("recv=EINTR/200;epoll_wait=EINTR/300"), Mood::Adds).await;
     for _ in 0..5 {
         world.gateway.reconfigure(&[]).await;
     }
     let mut client = world.gateway.client().await;
     client.write(&request("look", DEADLINE, "", "")).await;
-    until("the attempt", || backends.iter().any(|b| b.attempts() > 0)).await;
+    until("the attempt", || endpoints.iter().any(|b| b.attempts() > 0)).await;
     world.gateway.terminate();
     assert_eq!(client.read().await.status(), 200);
     let end = tokio::time::timeout(Duration::from_secs(30), world.gateway.ended()).await;
--- a/gateway/tests/helper/mod.rs
+++ b/gateway/tests/helper/mod.rs
@@ -99,7 +99,7 @@
     Some(Heard { line: line.trim_end().to_owned(), headers, body })
 }
 
-/// What a backend does with a request.
+/// What an endpoint does with a request.
 #[derive(Clone, Debug)]
 pub enum Do {
     /// Writes this text.
@@ -122,8 +122,8 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A backend that notes all it hears and acts by a list of deeds, the last one for ever.
-pub struct Backend {
+/// An endpoint that notes all it hears and acts by a list of deeds, the last one for ever.
+pub struct Endpoint {
     pub at: SocketAddr,
     pub heard: Arc<Mutex<Vec<Heard>>>,
     pub deeds: Arc<Mutex<Vec<Do>>>,
@@ -131,7 +131,7 @@
     pub closed: Arc<AtomicU32>,
 }
 
-impl Backend {
+impl Endpoint {
     pub async fn start(deeds: &[Do]) -> Self {
         Self::serve(TcpListener::bind("127.0.0.1:0").await.expect("a port"), deeds)
     }
@@ -405,7 +405,7 @@
     pub number: u32,
     pub known: String,
     pub sockets: usize,
-    /// How long a backend may be cold, in ms; one that failed is left alone for a share of that.
+    /// How long an endpoint may be cold, in ms; one that failed is left alone for a share of that.
     pub cold: u64,
     /// Texts of the configuration that are others here.
     pub edits: Vec<(&'static str, String)>,
@@ -433,7 +433,7 @@
         Self { faults: faults.to_owned(), ..self }
     }
 
-    /// Whatever is held, for quota, backend or attempt, is held for long: aims are of this many ms, and the counter
+    /// Whatever is held, for quota, endpoint or attempt, is held for long: aims are of this many ms, and the counter
     /// and a connection may be as slow.
     pub fn patient(self, aim: u64) -> Self {
         let edits = vec![
@@ -551,7 +551,8 @@
             text.replace(old, new)
         });
         let number = FILES.fetch_add(1, Ordering::SeqCst);
-        let config = std::env::temp_dir().join(format!("fennelscale-{}-{number}.json", std::process::id()));
+        let config =
+            std::env::temp_dir().join(format!("ryefront-gateway-{}-{number}.json", std::process::id()));
         std::fs::write(&config, &text).expect("a file");
         // It gets no more descriptors than it is told.
         let limited = r#"ulimit -n "$0" && exec "$1""#;
@@ -560,7 +561,7 @@
             command.env("LD_PRELOAD", fault_library()).env("FAULTS", faults);
         }
         let mut child = command
-            .args(["-c", limited, &sockets.to_string(), env!("CARGO_BIN_EXE_fennelscale")])
+            .args(["-c", limited, &sockets.to_string(), env!("CARGO_BIN_EXE_ryefront-gateway")])
             .env("NODE_CONFIG", &config)
             .env_remove("NODE_LISTEN")
             .env("NODE_DISCOVERY", discovery.to_string())
@@ -730,7 +731,7 @@
     }
 }
 
-/// A gateway that knows some backends, with discovery silent and the counter in order.
+/// A gateway that knows some endpoints, with discovery silent and the counter in order.
 pub struct World {
     pub gateway: Gateway,
     pub discovery: Discovery,
@@ -738,9 +739,9 @@
 }
 
 impl World {
-    pub async fn with(backends: &[&Backend]) -> Self {
+    pub async fn with(endpoints: &[&Endpoint]) -> Self {
         let rows: Vec<_> =
-            backends.iter().enumerate().map(|(i, b)| row(&format!("b{i}"), b.at, "in_service")).collect();
+            endpoints.iter().enumerate().map(|(i, b)| row(&format!("b{i}"), b.at, "in_service")).collect();
         Self::set(&Setup::knowing(&rows), Mood::Adds).await
     }
 
--- a/gateway/tests/leaving.rs
+++ b/gateway/tests/leaving.rs
@@ -3,10 +3,10 @@
 
 mod helper;
 
-use fennelscale::socket::Socket;
 use helper::{
-    Backend, Client, Do, Gateway, Late, Mood, Setup, World, full_line, list, ok, pause, request, row, until,
+    Client, Do, Endpoint, Gateway, Late, Mood, Setup, World, full_line, list, ok, pause, request, row, until,
 };
+use ryefront_gateway::socket::Socket;
 use std::net::Shutdown;
 use std::rc::Rc;
 use std::sync::atomic::Ordering::SeqCst;
@@ -79,20 +79,20 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn who_leaves_while_its_attempt_is_out_has_it_given_up() {
-    let backend = Backend::start(&[Do::Hang, Do::Say(ok("x"))]).await;
-    let setup = Setup::knowing(&[row("b", backend.at, "in_service")]).patient(200_000);
+    let endpoint = Endpoint::start(&[Do::Hang, Do::Say(ok("x"))]).await;
+    let setup = Setup::knowing(&[row("b", endpoint.at, "in_service")]).patient(200_000);
     let world = World::set(&setup, Mood::Adds).await;
     for (way, behind, _) in ways() {
-        let closed = backend.closed();
-        *backend.deeds.lock().expect("lock") = vec![Do::Hang, Do::Say(ok("x"))];
-        let attempts = backend.attempts();
+        let closed = endpoint.closed();
+        *endpoint.deeds.lock().expect("lock") = vec![Do::Hang, Do::Say(ok("x"))];
+        let attempts = endpoint.attempts();
         let mut client = world.gateway.client().await;
         client.write(&(leaving() + &behind)).await;
-        until("the attempt", || backend.attempts() == attempts + 1).await;
+        until("the attempt", || endpoint.attempts() == attempts + 1).await;
         let _kept = end(client, way);
-        until("the end of the attempt's connection", || backend.closed() > closed).await;
+        until("the end of the attempt's connection", || endpoint.closed() > closed).await;
         assert_eq!(world.gateway.client().await.ask(UP).await.status(), 200);
-        assert_eq!(backend.attempts(), attempts + 1, "nothing more of that client went on: {way:?}");
+        assert_eq!(endpoint.attempts(), attempts + 1, "nothing more of that client went on: {way:?}");
     }
 }
 
@@ -130,8 +130,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn who_leaves_while_its_quota_is_asked_for_goes_nowhere() {
     for (way, behind, leaves_first) in ways() {
-        let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-        let setup = Setup::knowing(&[row("b", backend.at, "in_service")]).patient(200_000);
+        let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+        let setup = Setup::knowing(&[row("b", endpoint.at, "in_service")]).patient(200_000);
         let world = World::set(&setup, Mood::Held).await;
         let mut client = world.gateway.client().await;
         client.write(&(leaving() + &behind)).await;
@@ -139,15 +139,15 @@
         let release = async { *world.counter.mood.lock().expect("lock") = Mood::Adds };
         let _kept = cross(&world.gateway, client, way, leaves_first, release).await;
         assert_eq!(world.gateway.client().await.ask(&request("look", LONG, "", "")).await.status(), 200);
-        assert_eq!(backend.heard("leaves"), 0, "{way:?}, {} bytes behind, {leaves_first}", behind.len());
+        assert_eq!(endpoint.heard("leaves"), 0, "{way:?}, {} bytes behind, {leaves_first}", behind.len());
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn who_leaves_while_no_backend_is_to_be_had_goes_nowhere() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
+async fn who_leaves_while_no_endpoint_is_to_be_had_goes_nowhere() {
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
     let world = World::set(&Setup::knowing(&[]).patient(200_000), Mood::Adds).await;
-    let text = |n, health| list(n, false, &[row("b", backend.at, health)]);
+    let text = |n, health| list(n, false, &[row("b", endpoint.at, health)]);
     for (n, (way, behind, leaves_first)) in ways().into_iter().enumerate() {
         let mut client = world.gateway.client().await;
         client.write(&(leaving() + &behind)).await;
@@ -158,7 +158,7 @@
         let _kept = cross(&world.gateway, client, way, leaves_first, release).await;
         is_known(&world, seq, &there).await;
         assert_eq!(world.gateway.client().await.ask(&request("look", LONG, "", "")).await.status(), 200);
-        assert_eq!(backend.heard("leaves"), 0, "{way:?}, {} bytes behind, {leaves_first}", behind.len());
+        assert_eq!(endpoint.heard("leaves"), 0, "{way:?}, {} bytes behind, {leaves_first}", behind.len());
         world.discovery.tell(text(seq + 1, "terminating"));
         is_known(&world, seq + 1, &text(seq + 1, "terminating")).await;
     }
@@ -168,8 +168,8 @@
 async fn who_leaves_while_a_further_attempt_is_awaited_goes_nowhere() {
     let declined = "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n".to_owned();
     for (way, behind, leaves_first) in ways() {
-        let full = Backend::start(&[Do::Say(declined.clone())]).await;
-        let other = Backend::start(&[Do::Say(ok("x"))]).await;
+        let full = Endpoint::start(&[Do::Say(declined.clone())]).await;
+        let other = Endpoint::start(&[Do::Say(ok("x"))]).await;
         // Who turned a request away is left alone for minutes.
         let setup = Setup { cold: 10_000_000, ..Setup::knowing(&[row("b", full.at, "in_service")]) };
         let world = World::set(&setup.patient(200_000), Mood::Adds).await;
@@ -199,7 +199,7 @@
     let setup = Setup::knowing(&[row("b", at, "in_service")]);
     let world = World::set(&setup.patient(200_000), Mood::Adds).await;
     let mut client = world.gateway.client().await;
-    // Of a customer without a quota: no counter is asked.
+    // Of a tenant without a quota: no counter is asked.
     let text =
         leaving().replace("Api-Plan: p", "Api-Plan: free").replace("00000000b4d65521", "0000000000000001");
     client.write(&(text + &behind)).await;
@@ -236,8 +236,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn of_floods_whose_clients_are_gone_nothing_is_sent_on_and_nothing_stays() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let setup = Setup::knowing(&[row("b", backend.at, "in_service")]).patient(200_000);
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let setup = Setup::knowing(&[row("b", endpoint.at, "in_service")]).patient(200_000);
     let world = World::set(&setup, Mood::Adds).await;
     let usual = || request("order", LONG, "", "b");
     assert_eq!(world.gateway.client().await.ask(&usual()).await.status(), 200);
@@ -255,15 +255,15 @@
         until("the end of their connections", || world.gateway.descriptors() <= 20).await;
         after_rounds.push(world.gateway.memory_kib());
     }
-    assert_eq!((backend.heard("leaves"), backend.attempts()), (0, 6));
+    assert_eq!((endpoint.heard("leaves"), endpoint.attempts()), (0, 6));
     // Of the 1.9 MB that came after the first round little stays.
     assert!(after_rounds[4] < after_rounds[0] + 1000, "{after_rounds:?} KiB");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn who_asks_again_at_once_after_each_refusal_keeps_nobody_out() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let setup = Setup { rate: 0.01, burst: 1.0, ..Setup::knowing(&[row("b", backend.at, "in_service")]) };
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let setup = Setup { rate: 0.01, burst: 1.0, ..Setup::knowing(&[row("b", endpoint.at, "in_service")]) };
     let world = World::set(&setup.patient(200_000), Mood::Adds).await;
     let (mut eager, mut statuses) = (world.gateway.client().await, Vec::new());
     for n in 0..300 {
@@ -279,5 +279,8 @@
         statuses.push(eager.read().await.status());
     }
     assert_eq!(statuses.iter().filter(|status| **status == 200).count(), 1);
-    assert_eq!((statuses.iter().filter(|status| **status == 429).count(), backend.heard("leaves")), (599, 1));
+    assert_eq!(
+        (statuses.iter().filter(|status| **status == 429).count(), endpoint.heard("leaves")),
+        (599, 1)
+    );
 }
--- a/gateway/tests/pool.rs
+++ b/gateway/tests/pool.rs
@@ -1,7 +1,7 @@
 //! Idle connections: which are kept, used and given up.
 
-use doorcourse::Name;
-use fennelscale::pool::Pool;
+use ryefront_gateway::pool::Pool;
+use ryefront_policy::Name;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, advance};
@@ -11,7 +11,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_newest_connection_that_has_rested_is_taken_and_the_fullest_backend_gives_up_its_oldest() {
+async fn the_newest_connection_that_has_rested_is_taken_and_the_fullest_endpoint_gives_up_its_oldest() {
     let ([a, b, c], rest) = (names(), Duration::from_millis(25));
     let mut pool = Pool::default();
     for (name, connection) in [(&a, 1), (&b, 2), (&a, 3), (&a, 4)] {
--- a/gateway/tests/process.rs
+++ b/gateway/tests/process.rs
@@ -2,7 +2,7 @@
 
 mod helper;
 
-use helper::{Backend, Client, Counter, Discovery, Do, Gateway, Mood, Setup, World, list, ok, request, row};
+use helper::{Client, Counter, Discovery, Do, Endpoint, Gateway, Mood, Setup, World, list, ok, request, row};
 use std::process::Command;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering::SeqCst};
@@ -14,32 +14,32 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn sigterm_answers_what_was_taken_and_what_still_comes_and_ends_with_status_0() {
-    let backend = Backend::start(&[Do::Hang, Do::Say(ok("x"))]).await;
-    let mut world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Hang, Do::Say(ok("x"))]).await;
+    let mut world = World::with(&[&endpoint]).await;
     let (mut early, mut free) = (world.gateway.client().await, world.gateway.client().await);
     assert_eq!(free.ask(UP).await.status(), 200);
     early.write(&request("order", 2000, "", "b")).await;
-    helper::until("the attempt", || backend.attempts() == 1).await;
+    helper::until("the attempt", || endpoint.attempts() == 1).await;
     world.gateway.terminate();
     world.gateway.drains().await;
     for client in [&mut world.gateway.client().await, &mut free] {
         let reply = client.ask(&request("look", 900, "", "")).await;
         assert_eq!((reply.status(), reply.headers["connection"].as_str()), (200, "close"));
     }
-    // What was taken before waits for its backend to the end of its time, and is told so.
+    // What was taken before waits for its endpoint to the end of its time, and is told so.
     let reply = early.read().await;
     assert_eq!((reply.status(), reply.headers["connection"].as_str()), (504, "close"));
     let mut rest = Vec::new();
     helper::soon("the close", early.0.read_to_end(&mut rest)).await.expect("a clean end");
     assert_eq!(rest, b"");
     assert_eq!(world.gateway.ended().await.code(), Some(0));
-    assert_eq!(backend.attempts(), 3);
+    assert_eq!(endpoint.attempts(), 3);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn at_sigterm_idle_connections_close_while_new_ones_are_still_taken() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let mut world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let mut world = World::with(&[&endpoint]).await;
     let mut idle = world.gateway.client().await;
     assert_eq!(idle.ask(UP).await.status(), 200);
     world.gateway.terminate();
@@ -66,12 +66,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn idle_clients_beyond_the_budget_make_room_for_new_ones() {
-    let backend = Backend::start(&[Do::SayLater(1500, ok("x"))]).await;
-    let setup = Setup { sockets: 52, ..Setup::knowing(&[row("b", backend.at, "in_service")]) };
+    let endpoint = Endpoint::start(&[Do::SayLater(1500, ok("x"))]).await;
+    let setup = Setup { sockets: 52, ..Setup::knowing(&[row("b", endpoint.at, "in_service")]) };
     let world = World::set(&setup, helper::Mood::Adds).await;
     let mut busy = world.gateway.client().await;
     busy.write(&request("look", 50_000, "", "")).await;
-    helper::until("the attempt", || backend.attempts() == 1).await;
+    helper::until("the attempt", || endpoint.attempts() == 1).await;
     let mut clients = Vec::new();
     for _ in 0..40 {
         let mut client = world.gateway.client().await;
@@ -85,12 +85,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_crowd_that_asked_and_stayed_makes_room_long_before_the_budget_is_spent() {
     // Room for 33. What is out meanwhile ends before anyone's time to ask is over.
-    let backend = Backend::start(&[Do::SayLater(2000, ok("x"))]).await;
-    let setup = Setup { sockets: 92, ..Setup::knowing(&[row("b", backend.at, "in_service")]) };
+    let endpoint = Endpoint::start(&[Do::SayLater(2000, ok("x"))]).await;
+    let setup = Setup { sockets: 92, ..Setup::knowing(&[row("b", endpoint.at, "in_service")]) };
     let world = World::set(&setup, helper::Mood::Adds).await;
     let mut busy = world.gateway.client().await;
     busy.write(&request("look", 50_000, "", "")).await;
-    helper::until("the attempt", || backend.attempts() == 1).await;
+    helper::until("the attempt", || endpoint.attempts() == 1).await;
     let mut crowd = Vec::new();
     for _ in 0..24 {
         let mut client = world.gateway.client().await;
@@ -108,12 +108,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn who_connects_while_busy_clients_hold_half_of_the_budget_is_left_to_ask() {
-    // Room for 33, of which 18 wait for backends that never answer.
-    let mut backends = Vec::new();
+    // Room for 33, of which 18 wait for endpoints that never answer.
+    let mut endpoints = Vec::new();
     for _ in 0..6 {
-        backends.push(Backend::start(&[Do::Hang]).await);
+        endpoints.push(Endpoint::start(&[Do::Hang]).await);
     }
-    let rows: Vec<_> = backends.iter().map(|b| row(&b.at.to_string(), b.at, "in_service")).collect();
+    let rows: Vec<_> = endpoints.iter().map(|b| row(&b.at.to_string(), b.at, "in_service")).collect();
     let setup = Setup { sockets: 92, ..Setup::knowing(&rows) }.patient(400_000);
     let world = World::set(&setup, helper::Mood::Adds).await;
     let mut busy = Vec::new();
@@ -122,7 +122,7 @@
         client.write(&request("look", 500_000, "", "")).await;
         busy.push(client);
     }
-    let attempts = || backends.iter().map(Backend::attempts).sum::<usize>();
+    let attempts = || endpoints.iter().map(Endpoint::attempts).sum::<usize>();
     helper::until("the attempts", || attempts() == 18).await;
     for rest in [0, 1, 5, 30] {
         let mut newcomer = world.gateway.client().await;
@@ -133,8 +133,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn clients_that_connect_and_say_nothing_do_not_keep_others_out() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let setup = Setup { sockets: 52, ..Setup::knowing(&[row("b", backend.at, "in_service")]) };
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let setup = Setup { sockets: 52, ..Setup::knowing(&[row("b", endpoint.at, "in_service")]) };
     let world = World::set(&setup, helper::Mood::Adds).await;
     let mut silent = Vec::new();
     for n in 0..40 {
@@ -164,16 +164,16 @@
         Some(Do::SayAndThen(later, 50, " ".into())),
     ];
     for mood in moods {
-        let started = Backend::start(&[Do::Say(ok("new"))]).await;
+        let started = Endpoint::start(&[Do::Say(ok("new"))]).await;
         let (up, here) =
-            (Backend::start(&[Do::Say(ok("old"))]).await, Backend::start(&[Do::Say(ok("old"))]).await);
+            (Endpoint::start(&[Do::Say(ok("old"))]).await, Endpoint::start(&[Do::Say(ok("old"))]).await);
         // What it knew hours ago: one of these has gone since, and one has started that it does not know.
         let (_held, gone) = helper::refusing();
         let rows = [("up", up.at), ("gone", gone), ("here", here.at)];
         let setup = Setup::knowing(&rows.map(|(name, at)| row(name, at, "in_service"))).patient(200_000);
         let counter = Counter::start(Mood::Adds).await;
         let (socket, at) = helper::refusing();
-        let serve = |socket: TcpSocket, deed| Backend::serve(socket.listen(8).expect("a listener"), &[deed]);
+        let serve = |socket: TcpSocket, deed| Endpoint::serve(socket.listen(8).expect("a listener"), &[deed]);
         let (socket, discovery) = match mood.clone() {
             Some(deed) => (None, Some(serve(socket, deed))),
             None => (Some(socket), None),
@@ -222,9 +222,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_crowd_that_fills_the_descriptors_leaves_some_for_discovery_and_counter_when_they_return() {
     let (hangs, serves) =
-        (Backend::start(&[Do::Hang]).await, Backend::start(&[Do::SayLater(20, ok("x"))]).await);
+        (Endpoint::start(&[Do::Hang]).await, Endpoint::start(&[Do::SayLater(20, ok("x"))]).await);
     let (discovery, counter) = (helper::refusing(), helper::refusing());
-    // Room for 33 clients and 27 connections to backends.
+    // Room for 33 clients and 27 connections to endpoints.
     let rows =
         |name: &str, at| (0..22).map(|n| row(&format!("{name}{n}"), at, "in_service")).collect::<Vec<_>>();
     let setup = Setup { sockets: 92, ..Setup::knowing(&rows("a", hangs.at)) }.patient(200_000);
@@ -256,14 +256,14 @@
         discovery.tell(list(7, true, &rows("b", serves.at)));
         discovery.taken_in().await;
         let text = |n: u32| {
-            let customer = format!("{:016x}", 100_000 * round + n);
-            request("look", 60_000, "", "").replace("00000000b4d65521", &customer)
+            let tenant = format!("{:016x}", 100_000 * round + n);
+            request("look", 60_000, "", "").replace("00000000b4d65521", &tenant)
         };
         // The counter is asked again once it has been silent for a while.
-        let mut customers = 0..;
+        let mut tenants = 0..;
         let work = async {
-            while counter.calls.load(SeqCst) == 0 || customers.start < 5 {
-                let text = text(customers.next().expect("a number"));
+            while counter.calls.load(SeqCst) == 0 || tenants.start < 5 {
+                let text = text(tenants.next().expect("a number"));
                 assert_eq!(entered(&gateway, &text, || false).await.read().await.status(), 200);
             }
         };
@@ -271,7 +271,7 @@
         // Whatever is out there is not answered before both have moved.
         *counter.mood.lock().expect("lock") = Mood::Held;
         let calls = counter.calls.load(SeqCst);
-        busy.push(entered(&gateway, &text(customers.start), || counter.calls.load(SeqCst) > calls).await);
+        busy.push(entered(&gateway, &text(tenants.start), || counter.calls.load(SeqCst) > calls).await);
         let next = (Discovery::start().await, Counter::start(Mood::Adds).await);
         let changes = [(first.0, next.0.at), (first.1, next.1.at)];
         let changes = changes.map(|(old, new)| (old.to_string(), new.to_string()));
@@ -283,8 +283,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn sighup_moves_discovery_and_counter_while_requests_go_on() {
-    let old = Backend::start(&[Do::SayLater(600, ok("old")), Do::Say(ok("old"))]).await;
-    let new = Backend::start(&[Do::Say(ok("new"))]).await;
+    let old = Endpoint::start(&[Do::SayLater(600, ok("old")), Do::Say(ok("old"))]).await;
+    let new = Endpoint::start(&[Do::Say(ok("new"))]).await;
     let mut world = World::with(&[&old]).await;
     let mut early = world.gateway.client().await;
     early.write(&request("order", 5000, "", "b")).await;
@@ -303,9 +303,9 @@
         discovery.tell(list(0, true, &[row("c", new.at, "in_service")]));
         discovery.taken_in().await;
         let mut client = world.gateway.client().await;
-        // Another customer each time: its first block is asked of the counter.
-        let customer = format!("{:016x}", counter.at.port());
-        let text = request("look", 900, "", "").replace("00000000b4d65521", &customer);
+        // Another tenant each time: its first block is asked of the counter.
+        let tenant = format!("{:016x}", counter.at.port());
+        let text = request("look", 900, "", "").replace("00000000b4d65521", &tenant);
         assert_eq!(client.ask(&text).await.body, b"new");
         helper::until("a call of the new counter", || counter.calls.load(SeqCst) > 0).await;
         assert_ne!(std::mem::replace(&mut at, discovery.at), at);
@@ -319,8 +319,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unusable_new_configuration_is_one_line_and_changes_nothing() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let mut world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let mut world = World::with(&[&endpoint]).await;
     world.discovery.taken_in().await;
     world.gateway.reconfigure(&[("{".into(), String::new())]).await;
     assert_eq!(world.gateway.log_lines("configuration not read again"), 1);
@@ -336,8 +336,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_configuration_that_is_half_written_at_the_signal_is_read_once_it_is_whole() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let world = World::with(&[&endpoint]).await;
     let (old, new) = (world.discovery.at.to_string(), Discovery::start().await);
     let changed = |text: &str| text.replace(&old, &new.at.to_string());
     world.gateway.write_config(|text| changed(text)[..text.len() / 2].to_owned());
@@ -351,8 +351,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_log_that_nobody_reads_any_more_does_not_end_the_gateway() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let mut world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let mut world = World::with(&[&endpoint]).await;
     world.gateway.close_log().await;
     let old = world.discovery.at.to_string();
     // The line that says so is lost, and nothing else.
@@ -369,7 +369,7 @@
 
 #[test]
 fn an_unusable_configuration_is_one_line_and_status_2() {
-    let path = std::env::temp_dir().join(format!("fennelscale-bad-{}.json", std::process::id()));
+    let path = std::env::temp_dir().join(format!("ryefront-gateway-bad-{}.json", std::process::id()));
     let end = r#""seed":"1","settings":{"fleet-size":1,"classes":[{"name":"a","effect":"idempotent"}]}}"#;
     let texts = [
         String::new(),
@@ -382,7 +382,7 @@
     ];
     for text in texts {
         std::fs::write(&path, &text).expect("a file");
-        let output = Command::new(env!("CARGO_BIN_EXE_fennelscale"))
+        let output = Command::new(env!("CARGO_BIN_EXE_ryefront-gateway"))
             .env("NODE_CONFIG", &path)
             .env_remove("NODE_LISTEN")
             .env_remove("NODE_DISCOVERY")
--- a/gateway/tests/repeats.rs
+++ b/gateway/tests/repeats.rs
@@ -3,9 +3,9 @@
 mod helper;
 
 use bytes::Bytes;
-use fennelscale::connection::{Connection, Progress};
-use helper::{Backend, Do, Mood, Setup, World, hear, ok, pause, request, row};
+use helper::{Do, Endpoint, Mood, Setup, World, hear, ok, pause, request, row};
 use http_body_util::Full;
+use ryefront_gateway::connection::{Connection, Progress};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::time::Duration;
@@ -98,10 +98,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_1xx_then_a_reset_may_have_run_and_is_not_refused() {
     for text in ["HTTP/1.1 102 Processing\r\n\r\n", "HTTP/1.1 10", ""] {
-        let backend = Backend::start(&[Do::SayAndReset(text.into()), Do::Say(ok("x"))]).await;
-        let world = World::with(&[&backend]).await;
+        let endpoint = Endpoint::start(&[Do::SayAndReset(text.into()), Do::Say(ok("x"))]).await;
+        let world = World::with(&[&endpoint]).await;
         let reply = world.gateway.client().await.ask(&request("order", 2000, "", "b")).await;
-        assert_eq!((reply.status(), backend.attempts()), (502, 1), "{text:?}");
+        assert_eq!((reply.status(), endpoint.attempts()), (502, 1), "{text:?}");
     }
 }
 
@@ -109,10 +109,10 @@
 async fn srv_declined_proves_nothing_on_other_statuses() {
     for status in ["500 Error", "429 Slow", "404 None", "200 OK"] {
         let text = format!("HTTP/1.1 {status}\r\nSrv-Declined: 1\r\nContent-Length: 1\r\n\r\nx");
-        let backend = Backend::start(&[Do::Say(text)]).await;
-        let world = World::with(&[&backend]).await;
+        let endpoint = Endpoint::start(&[Do::Say(text)]).await;
+        let world = World::with(&[&endpoint]).await;
         let reply = world.gateway.client().await.ask(&request("order", 2000, "", "b")).await;
         let expected = if status.starts_with("200") { 200 } else { 502 };
-        assert_eq!((reply.status(), backend.attempts()), (expected, 1), "{status}");
+        assert_eq!((reply.status(), endpoint.attempts()), (expected, 1), "{status}");
     }
 }
--- a/gateway/tests/requests.rs
+++ b/gateway/tests/requests.rs
@@ -1,22 +1,22 @@
-//! What comes in from clients: what is taken, what is not, and what goes on to backends.
+//! What comes in from clients: what is taken, what is not, and what goes on to endpoints.
 
 mod helper;
 
-use helper::{Backend, Do, World, ok, pause, request};
+use helper::{Do, Endpoint, World, ok, pause, request};
 use tokio::io::AsyncWriteExt;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_goes_on_as_it_came_and_its_answer_comes_back_unchanged() {
     let answer = "HTTP/1.1 200 OK\r\nX-Note: n\r\nContent-Type: a/b\r\nTransfer-Encoding: chunked\r\n\r\n\
                   3\r\nab\n\r\n2\r\ncd\r\n0\r\n\r\n";
-    let backend = Backend::start(&[Do::Say(answer.into())]).await;
-    let world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Say(answer.into())]).await;
+    let world = World::with(&[&endpoint]).await;
     let mut client = world.gateway.client().await;
     let reply = client.ask(&request("save", 900, "Content-Type: x/y\r\n", "the body")).await;
     assert_eq!((reply.status(), reply.body.as_slice()), (200, &b"ab\ncd"[..]));
     assert_eq!((reply.headers["x-note"].as_str(), reply.headers["content-type"].as_str()), ("n", "a/b"));
     client.stays_quiet().await;
-    let heard = backend.heard.lock().expect("lock").clone();
+    let heard = endpoint.heard.lock().expect("lock").clone();
     assert_eq!(heard.len(), 1);
     assert_eq!(heard[0].line, "POST /save/a%20b?c=d HTTP/1.1");
     assert_eq!(heard[0].body, b"the body");
@@ -29,21 +29,21 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_are_used_again_on_both_sides() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let world = World::with(&[&endpoint]).await;
     let mut client = world.gateway.client().await;
     for _ in 0..20 {
         assert_eq!(client.ask(&request("order", 900, "", "b")).await.status(), 200);
         // A free connection rests for a moment before it is used again.
         pause(40).await;
     }
-    assert_eq!((backend.attempts(), backend.opened()), (20, 1));
+    assert_eq!((endpoint.attempts(), endpoint.opened()), (20, 1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn what_cannot_be_used_is_answered_400_or_404_and_goes_nowhere() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let world = World::with(&[&endpoint]).await;
     let good = request("look", 900, "", "");
     let post = request("order", 900, "", "");
     let cases = [
@@ -61,7 +61,7 @@
         (400, good.replace("00000000b4d65521", "b4d65521")),
         (400, good.replace("00000000b4d65521", "00000002b4d65521")),
         (400, good.replace("00000000b4d65521", "00000000b4d6552x")),
-        (400, good.replace("Api-Customer", "X-Customer")),
+        (400, good.replace("Api-Customer", "X-Tenant")),
         (400, good.replace("Req-Deadline-Ms: 900", "Req-Deadline-Ms: 0")),
         (400, good.replace("Req-Deadline-Ms: 900", "Req-Deadline-Ms: -1")),
         (400, good.replace("Req-Deadline-Ms: 900", "Req-Deadline-Ms: 1e99")),
@@ -96,78 +96,78 @@
         assert_eq!(client.ask(&text).await.status(), status, "{text}");
         client.is_closed().await;
     }
-    assert_eq!(backend.attempts(), 0);
+    assert_eq!(endpoint.attempts(), 0);
     assert_eq!(world.gateway.client().await.ask(&good).await.status(), 200);
-    assert_eq!(backend.attempts(), 1);
+    assert_eq!(endpoint.attempts(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_of_64_kib_passes_and_a_larger_one_does_not() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let world = World::with(&[&endpoint]).await;
     let most = "y".repeat(64 * 1024);
     let reply = world.gateway.client().await.ask(&request("order", 900, "", &most)).await;
     assert_eq!(reply.status(), 200);
-    assert!(backend.heard.lock().expect("lock")[0].body == most.as_bytes());
+    assert!(endpoint.heard.lock().expect("lock")[0].body == most.as_bytes());
     let more = request("order", 900, "", &(most.clone() + "y"));
     assert_eq!(world.gateway.client().await.ask(&more).await.status(), 413);
     let chunked = request("order", 900, "Transfer-Encoding: chunked\r\n", "")
         .replace("Content-Length: 0\r\n", "")
         + &format!("10001\r\n{most}y\r\n0\r\n\r\n");
     assert_eq!(world.gateway.client().await.ask(&chunked).await.status(), 413);
-    assert_eq!(backend.attempts(), 1);
+    assert_eq!(endpoint.attempts(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_client_that_leaves_has_its_attempt_given_up_and_not_repeated() {
-    let backend = Backend::start(&[Do::Hang, Do::Say(ok("x"))]).await;
-    let world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Hang, Do::Say(ok("x"))]).await;
+    let world = World::with(&[&endpoint]).await;
     let mut client = world.gateway.client().await;
     client.write(&request("look", 50_000, "", "")).await;
-    helper::until("the attempt", || backend.attempts() == 1).await;
+    helper::until("the attempt", || endpoint.attempts() == 1).await;
     drop(client);
-    helper::until("the end of the attempt's connection", || backend.closed() == 1).await;
+    helper::until("the end of the attempt's connection", || endpoint.closed() == 1).await;
     pause(300).await;
-    assert_eq!(backend.attempts(), 1);
+    assert_eq!(endpoint.attempts(), 1);
     assert_eq!(world.gateway.client().await.ask(&request("look", 900, "", "")).await.status(), 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn without_an_answer_the_client_hears_so_once_before_its_time_is_over() {
-    let backend = Backend::start(&[Do::Hang]).await;
-    let world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Hang]).await;
+    let world = World::with(&[&endpoint]).await;
     for class in ["look", "save", "order"] {
-        let (before, closed) = (backend.attempts(), backend.closed());
+        let (before, closed) = (endpoint.attempts(), endpoint.closed());
         let mut client = world.gateway.client().await;
         let reply = client.ask(&request(class, 700, "", "")).await;
         assert_eq!(reply.status(), 504, "{class}");
         client.stays_quiet().await;
-        assert_eq!(backend.attempts(), before + 1, "{class}");
-        helper::until("the attempt given up", || backend.closed() == closed + 1).await;
-        // The module leaves a backend that gave no answer alone for as long as that took.
+        assert_eq!(endpoint.attempts(), before + 1, "{class}");
+        helper::until("the attempt given up", || endpoint.closed() == closed + 1).await;
+        // The module leaves an endpoint that gave no answer alone for as long as that took.
         pause(900).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_client_that_leaves_speaks_against_no_backend() {
-    let backend = Backend::start(&[Do::Hang, Do::Say(ok("x"))]).await;
-    let world = World::with(&[&backend]).await;
+async fn a_client_that_leaves_speaks_against_no_endpoint() {
+    let endpoint = Endpoint::start(&[Do::Hang, Do::Say(ok("x"))]).await;
+    let world = World::with(&[&endpoint]).await;
     let mut client = world.gateway.client().await;
     client.write(&request("order", 50_000, "", "b")).await;
-    helper::until("the attempt", || backend.attempts() == 1).await;
-    // Longer than a request is held for a backend: one left alone for as long again would cost the next one.
+    helper::until("the attempt", || endpoint.attempts() == 1).await;
+    // Longer than a request is held for an endpoint: one left alone for as long again would cost the next one.
     pause(1000).await;
     drop(client);
-    helper::until("the end of the attempt's connection", || backend.closed() == 1).await;
+    helper::until("the end of the attempt's connection", || endpoint.closed() == 1).await;
     let reply = world.gateway.client().await.ask(&request("order", 900, "", "b")).await;
-    assert_eq!((reply.status(), backend.attempts()), (200, 2));
+    assert_eq!((reply.status(), endpoint.attempts()), (200, 2));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_with_both_a_length_and_a_transfer_encoding_hides_nothing() {
-    let backend = Backend::start(&[Do::Say(ok("x"))]).await;
-    let world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
+    let world = World::with(&[&endpoint]).await;
     let hidden = request("order", 900, "", "");
     let (length, encoding) = ("Content-Length: 5\r\n", "Transfer-Encoding: chunked\r\n");
     let plain = request("order", 900, "", "").replace("Content-Length: 0\r\n", "HERE");
@@ -188,24 +188,24 @@
     }
     let gzip = plain.replace("HERE", "Transfer-Encoding: gzip, chunked\r\n") + "0\r\n\r\n";
     assert_eq!(world.gateway.client().await.ask(&gzip).await.status(), 400);
-    assert_eq!(backend.attempts(), 0);
+    assert_eq!(endpoint.attempts(), 0);
     let chunked = plain.replace("HERE", encoding) + "5\r\nhello\r\n0\r\n\r\n";
     assert_eq!(world.gateway.client().await.ask(&chunked).await.status(), 200);
-    assert_eq!(backend.heard.lock().expect("lock")[0].body, b"hello");
-    assert_eq!(backend.attempts(), 1);
+    assert_eq!(endpoint.heard.lock().expect("lock")[0].body, b"hello");
+    assert_eq!(endpoint.attempts(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_id_of_an_open_request_is_taken() {
-    let backend = Backend::start(&[Do::SayLater(500, ok("x"))]).await;
-    let world = World::with(&[&backend]).await;
+    let endpoint = Endpoint::start(&[Do::SayLater(500, ok("x"))]).await;
+    let world = World::with(&[&endpoint]).await;
     let text = request("order", 5000, "", "b");
     let mut client = world.gateway.client().await;
     client.write(&text).await;
-    helper::until("the attempt", || backend.attempts() == 1).await;
+    helper::until("the attempt", || endpoint.attempts() == 1).await;
     assert_eq!(world.gateway.client().await.ask(&text).await.status(), 400);
     assert_eq!(client.read().await.status(), 200);
-    assert_eq!(backend.attempts(), 1);
+    assert_eq!(endpoint.attempts(), 1);
     // Once it is answered, the id is as good as any.
     assert_eq!(client.ask(&text).await.status(), 200);
 }
--- a/gateway/tests/shutdown.rs
+++ b/gateway/tests/shutdown.rs
@@ -5,7 +5,7 @@
 mod helper;
 
 use fastrand::Rng;
-use helper::{Backend, Client, Counter, Discovery, Do, Gateway, Mood, Setup, ok, request, row};
+use helper::{Client, Counter, Discovery, Do, Endpoint, Gateway, Mood, Setup, ok, request, row};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,9 +34,9 @@
     /// Clients that ask once and stay, some of which come while the gateway ends.
     crowd: usize,
     sockets: usize,
-    /// How many of the backends hang from SIGTERM on.
+    /// How many of the endpoints hang from SIGTERM on.
     hung: usize,
-    backends: usize,
+    endpoints: usize,
     /// Answers take up to this share of the deadline.
     slowness: f64,
     /// New connections go on coming for this long after SIGTERM.
@@ -51,7 +51,7 @@
     fn draw(seed: u64) -> Self {
         let mut random = Rng::with_seed(seed);
         let crowd = if random.u8(0..3) == 0 { random.usize(20..60) } else { 0 };
-        let backends = random.usize(2..6);
+        let endpoints = random.usize(2..6);
         let moods = [Mood::Adds, Mood::Adds, Mood::Late(20), Mood::Silent, Mood::Busy];
         let faults = ["", "", "recv=EINTR/20;send=EINTR/20", "accept=ECONNABORTED/50;short=100"];
         let mut signals = Vec::new();
@@ -64,8 +64,8 @@
             clients: random.usize(4..16),
             crowd,
             sockets: if crowd > 0 { 160 } else { 1024 },
-            hung: random.usize(0..=backends),
-            backends,
+            hung: random.usize(0..=endpoints),
+            endpoints,
             slowness: random.f64(),
             arrivals: Duration::from_millis(random.u64(200..400)),
             signals,
@@ -199,11 +199,11 @@
 
 /// Plays a scenario; tells what went wrong, and how many requests were sent, and how many crossed a close.
 async fn play(scenario: &Scenario) -> (Vec<String>, usize, usize) {
-    let Scenario { seed, backends, .. } = *scenario;
+    let Scenario { seed, endpoints, .. } = *scenario;
     let mut servers = Vec::new();
-    for n in 0..backends {
-        let late = scenario.deadline.mul_f64(0.8 * scenario.slowness * n as f64 / backends as f64);
-        servers.push(Backend::start(&[Do::SayLater(late.as_millis() as u64, ok("x"))]).await);
+    for n in 0..endpoints {
+        let late = scenario.deadline.mul_f64(0.8 * scenario.slowness * n as f64 / endpoints as f64);
+        servers.push(Endpoint::start(&[Do::SayLater(late.as_millis() as u64, ok("x"))]).await);
     }
     let rows: Vec<_> =
         servers.iter().enumerate().map(|(n, b)| row(&format!("b{n}"), b.at, "in_service")).collect();
@@ -271,7 +271,7 @@
 }
 
 /// Requests that were lost, and such that ran twice though they may not.
-fn violations(ledger: &Ledger, servers: &[Backend]) -> Vec<String> {
+fn violations(ledger: &Ledger, servers: &[Endpoint]) -> Vec<String> {
     let mut heard = HashMap::<String, (String, usize)>::new();
     for server in servers {
         for message in server.heard.lock().expect("lock").iter() {
--- a/src/demand.rs
+++ b/policy/src/demand.rs
@@ -1,17 +1,17 @@
-//! The shared count of a thin customer: what it asks at all gateways, as a sum that fades.
+//! The shared count of a thin tenant: what it asks at all gateways, as a sum that fades.
 //!
 //! A count can only be added to. So an add made late in a window weighs more: by `e` for each turn since the
 //! window began. The total, divided by the weight of the moment it is heard, is what was asked with all that
-//! is older faded. At a steady rate that is rate times turn: a total of one burst means a customer that asks
+//! is older faded. At a steady rate that is rate times turn: a total of one burst means a tenant that asks
 //! just what its quota lets through, and any gateway learns so from one call, whenever it makes it.
 
-use crate::interface::Millis;
+use crate::Millis;
 
 /// A window lasts so many turns, in which old demand fades to nothing, and the weights still leave a total,
 /// exact to seven digits, sharp to a thousandth of a unit.
 const WINDOW_TURNS: f64 = 8.0;
 
-/// How long a window of a thin customer's count lasts; no count is kept for longer than `most`.
+/// How long a window of a thin tenant's count lasts; no count is kept for longer than `most`.
 pub(crate) fn window_length(turn: Millis, most: Millis) -> Millis {
     (turn * WINDOW_TURNS).min(most)
 }
--- a/src/members.rs
+++ b/policy/src/endpoint_table.rs
@@ -1,17 +1,17 @@
-//! The table of backends: what the list says of each, and what is out there. It is kept in slots, so that a request
+//! The table of endpoints: what the list says of each, and what is out there. It is kept in slots, so that a request
 //! costs what its gateway's subset costs, and a change of the list what it names. Nothing is decided here.
 
-use crate::backend::{Backend, StartClock};
+use crate::endpoint::{Endpoint, StartClock};
 use crate::hash::hash;
-use crate::interface::*;
 use crate::subset::{Slot, Subset};
+use crate::*;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// All backends that one gateway knows, and its subset of them.
+/// All endpoints that one gateway knows, and its subset of them.
 #[derive(Default)]
-pub(crate) struct Members {
-    slots: Vec<Backend>,
+pub(crate) struct EndpointTable {
+    slots: Vec<Endpoint>,
     free: Vec<Slot>,
     /// Only ever asked for one name: its order says nothing.
     names: FxHashMap<Name, Slot>,
@@ -23,8 +23,8 @@
     gateways: u32,
 }
 
-impl Members {
-    /// No backends yet; where `whole` is set the subset is the whole fleet.
+impl EndpointTable {
+    /// No endpoints yet; where `whole` is set the subset is the whole fleet.
     pub(crate) fn new(number: u32, gateways: u32, whole: bool) -> Self {
         Self { subset: Subset::new(number, gateways, whole), gateways, ..Self::default() }
     }
@@ -35,7 +35,7 @@
     }
 
     /// Takes in a list, or changes to it: what a whole list does not name is gone.
-    pub(crate) fn update(&mut self, list: Vec<BackendEntry>, whole: bool, now: Millis) {
+    pub(crate) fn update(&mut self, list: Vec<EndpointEntry>, whole: bool, now: Millis) {
         let new = if whole { list.len().saturating_sub(self.names.len()) } else { 0 };
         self.names.reserve(new);
         self.slots.reserve(new);
@@ -53,14 +53,14 @@
         self.subset.refresh();
     }
 
-    fn tell(&mut self, entry: BackendEntry, listed: bool, now: Millis) {
-        let (ready, gone) = (entry.state == BackendState::Ready, entry.state == BackendState::Gone);
-        let BackendEntry { name, zone, cell, started, .. } = entry;
+    fn tell(&mut self, entry: EndpointEntry, listed: bool, now: Millis) {
+        let (ready, gone) = (entry.state == EndpointState::Ready, entry.state == EndpointState::Removed);
+        let EndpointEntry { name, zone, cell, started_at: started, .. } = entry;
         let known = self.names.get(&name).copied();
         let slot = known.unwrap_or_else(|| {
             let slot = self.free.pop().unwrap_or(self.slots.len());
             if slot == self.slots.len() {
-                self.slots.push(Backend::default());
+                self.slots.push(Endpoint::default());
             }
             self.names.insert(name.clone(), slot);
             slot
@@ -68,9 +68,9 @@
         if known.is_none() || self.slots[slot].started != started {
             // Another process, of which nothing is known; what is out at the old one still ends.
             self.set(slot, false, false);
-            let (out, salt, room) = (self.slots[slot].out, hash(&name), Backend::first_room(self.gateways));
+            let (out, salt, room) = (self.slots[slot].out, hash(&name), Endpoint::first_room(self.gateways));
             self.slots[slot] =
-                Backend { name, zone, cell, salt, started, heard_at: now, out, room, ..Default::default() };
+                Endpoint { name, zone, cell, salt, started, heard_at: now, out, room, ..Default::default() };
             if let Some(started) = started {
                 self.starts.hear(started, now);
             }
@@ -83,14 +83,14 @@
         self.set(slot, ready, gone);
     }
 
-    /// Notes whether a backend may be sent something new, and whether it is gone.
+    /// Notes whether an endpoint may be sent something new, and whether it is gone.
     fn set(&mut self, slot: Slot, ready: bool, gone: bool) {
-        let Some(backend) = self.slots.get_mut(slot) else { return };
-        let was = std::mem::replace(&mut backend.ready, ready);
-        backend.gone = gone;
+        let Some(endpoint) = self.slots.get_mut(slot) else { return };
+        let was = std::mem::replace(&mut endpoint.ready, ready);
+        endpoint.gone = gone;
         match (was, ready) {
-            (false, true) => self.subset.insert(slot, backend.salt, &backend.zone, backend.cell),
-            (true, false) => self.subset.remove(slot, backend.salt, &backend.zone, backend.cell),
+            (false, true) => self.subset.insert(slot, endpoint.salt, &endpoint.zone, endpoint.cell),
+            (true, false) => self.subset.remove(slot, endpoint.salt, &endpoint.zone, endpoint.cell),
             _ => {}
         }
         if gone {
@@ -107,7 +107,7 @@
             let idle = slots[*slot].out == 0;
             if idle {
                 names.remove(&slots[*slot].name);
-                slots[*slot] = Backend { gone: true, ..Backend::default() };
+                slots[*slot] = Endpoint { gone: true, ..Endpoint::default() };
                 free.push(*slot);
             }
             !idle
@@ -119,36 +119,36 @@
         &self.subset
     }
 
-    /// The clock by which backends' starts are told.
+    /// The clock by which endpoints' starts are told.
     pub(crate) fn starts(&self) -> &StartClock {
         &self.starts
     }
 
-    /// The backend in a slot.
-    pub(crate) fn get(&self, slot: Slot) -> &Backend {
+    /// The endpoint in a slot.
+    pub(crate) fn get(&self, slot: Slot) -> &Endpoint {
         &self.slots[slot]
     }
 
-    /// The backend of a name.
-    pub(crate) fn named(&self, name: &str) -> Option<&Backend> {
+    /// The endpoint of a name.
+    pub(crate) fn named(&self, name: &str) -> Option<&Endpoint> {
         self.names.get(name).map(|slot| &self.slots[*slot])
     }
 
-    /// Notes that an attempt goes out to a backend; tells its name.
+    /// Notes that an attempt goes out to an endpoint; tells its name.
     pub(crate) fn sent(&mut self, slot: Slot) -> Name {
         self.out += 1;
         self.slots[slot].out += 1;
         self.slots[slot].name.clone()
     }
 
-    /// Notes that an attempt at a backend has ended.
-    pub(crate) fn ended(&mut self, name: &str) -> Option<&mut Backend> {
+    /// Notes that an attempt at an endpoint has ended.
+    pub(crate) fn ended(&mut self, name: &str) -> Option<&mut Endpoint> {
         let slot = self.names.get(name)?;
-        let backend = &mut self.slots[*slot];
-        if backend.out > 0 {
-            (backend.out, self.out) = (backend.out - 1, self.out - 1);
+        let endpoint = &mut self.slots[*slot];
+        if endpoint.out > 0 {
+            (endpoint.out, self.out) = (endpoint.out - 1, self.out - 1);
         }
-        Some(backend)
+        Some(endpoint)
     }
 
     /// How many attempts are out in all.
