--- a/src/logic.rs
+++ b/policy/src/engine.rs
@@ -1,23 +1,22 @@
 //! All decisions of a gateway. Its interface (settings, events, actions) is in `src/interface.rs`.
 //!
-//! A request passes three gates: its customer's quota (`Customer`, a lease cache on a shared window count),
-//! its open cap, and a backend with room (`crate::backend`). What cannot pass yet waits a share of its aim.
+//! A request passes three gates: its tenant's quota (`Tenant`, a lease cache on a shared window count),
+//! its open cap, and an endpoint with room (`crate::endpoint`). What cannot pass yet waits a share of its aim.
 
-use crate::backend::{EJECT_TOLD, ROOM_FIRST, ROOM_LATE, ROOM_LEAST, room};
-use crate::check::check;
 use crate::demand::{faded, share_let_in, weight, window_length};
+use crate::endpoint::{EJECT_TOLD, ROOM_FIRST, ROOM_LATE, ROOM_LEAST, room};
+use crate::endpoint_table::EndpointTable;
 use crate::fleet_clock::CYCLE;
 use crate::hash::{hash, mix, unit};
-use crate::interface::*;
-use crate::members::Members;
 use crate::subset::Slot;
+use crate::*;
 use std::collections::{BTreeMap, VecDeque};
 
 // ---- Quotas (a turn is burst over rate: the time in which a quota turns over once) ----
 /// A block holds the demand of this share of a turn; one unused for as long goes back, so that others can use
 /// it, and what is owed is told without a block once it is this share of the burst.
 const BLOCK_SHARE: f64 = 0.15;
-/// A block takes at most this share of what is left, split over the customer's gateways, or an even part of
+/// A block takes at most this share of what is left, split over the tenant's gateways, or an even part of
 /// all that is left above this share of the burst: while there is plenty, blocks are large.
 const NEAR_SHARE: f64 = 0.5;
 /// A block is renewed when less than this share of it is left.
@@ -28,7 +27,7 @@
 const RATELESS_TURN: Millis = 1000.0;
 /// A request waits for its block at most this share of its aim.
 const BLOCK_WAIT: f64 = 0.12;
-/// Under a ceiling an unknown customer starts with this share of its burst (see `Customer::start_of`).
+/// Under a ceiling an unknown tenant starts with this share of its burst (see `Tenant::start_of`).
 const CEILING_START: f64 = 0.5;
 /// A ceiling is held by quotas that stay this many times under it in rate and burst (see there too).
 const CEILING_TIMES: f64 = 1.6;
@@ -42,35 +41,35 @@
 const EASE_STEP: f64 = 0.2;
 /// The least share of calls still made: who never asks never learns that the counter is back.
 const EASE_LEAST: f64 = 0.1;
-/// A customer is thin where its burst leaves each gateway under this many units: a smaller block serves no
+/// A tenant is thin where its burst leaves each gateway under this many units: a smaller block serves no
 /// request. Its demand over all gateways is counted instead, as a sum that fades (`crate::demand`).
 const THIN: f64 = 1.0;
 /// A total is as good as new for this share of a turn: what is asked in between is told with the next call.
 const THIN_GAP: f64 = 0.25;
 /// The share that fits falls by this power of what is asked beyond the burst: no count hears of everything.
 const THIN_STRICT: f64 = 2.5;
-/// What was heard of a thin customer fades over this many turns.
+/// What was heard of a thin tenant fades over this many turns.
 const THIN_FADE: f64 = 4.0;
 /// Weight of the newest first total in a plan's odds.
 const PLAN_NEWEST: f64 = 0.03;
-/// Gateways that may talk tell of customers of whom less than this share fits, and again when it falls so.
+/// Gateways that may talk tell of tenants of whom less than this share fits, and again when it falls so.
 const THIN_NEWS: f64 = 0.7;
-/// A customer idle for this many turns has a full store again: it and its count are forgotten at no loss.
+/// A tenant idle for this many turns has a full store again: it and its count are forgotten at no loss.
 const IDLE_TURNS: f64 = 2.0;
-/// No count and no word of a customer is kept for more than this many ms.
+/// No count and no word of a tenant is kept for more than this many ms.
 const KEEP_MOST: Millis = 60_000.0;
 
 // ---- Requests ----
-/// A request is held (for its open cap, for a backend with room) at most this share of its aim.
+/// A request is held (for its open cap, for an endpoint with room) at most this share of its aim.
 const HOLD_SHARE: f64 = 0.3;
 /// An answer must leave this many ticks before the client's patience ends.
 const LAST_TICKS: f64 = 2.0;
 /// A host may be held up for so long between reading its clock and writing, by the pages.
 const HOLD_UP: Millis = 150.0;
-/// A safe request that may have run is tried this often at most: what two backends cannot do is costly.
+/// A safe request that may have run is tried this often at most: what two endpoints cannot do is costly.
 const REPEAT_MOST: u32 = 2;
 
-// ---- Backends ----
+// ---- Endpoints ----
 /// Weight of the newest latency in the usual latency of its class.
 const USUAL_WEIGHT: f64 = 0.02;
 /// A failure is a late answer if it took this many times the usual latency.
@@ -82,15 +81,15 @@
 const TAKE_STEP: f64 = 0.2;
 const TAKE_LEAST: f64 = 0.1;
 const TAKE_AGAIN: f64 = 0.01;
-/// What is let in without a word of its customer is worth this many times less: some of it is beyond quotas.
+/// What is let in without a word of its tenant is worth this many times less: some of it is beyond quotas.
 const BLIND_RANK: f64 = 2.0;
 /// A choice is made among so many of a subset, drawn by chance: the cost of a request does not grow with
-/// the subset. Where gateways are few each sees enough of all backends to compare more.
+/// the subset. Where gateways are few each sees enough of all endpoints to compare more.
 const SAMPLE: usize = 8;
 const SAMPLE_OF_FEW: usize = 64;
-/// A backend in another zone looks this much slower for each point of price: prices are small, so is this.
+/// An endpoint in another zone looks this much slower for each point of price: prices are small, so is this.
 const ZONE_BIAS: f64 = 5.0;
-/// A cold backend gets its capacity's share of an even part of all sends, times this at first and as much
+/// A cold endpoint gets its capacity's share of an even part of all sends, times this at first and as much
 /// again as it warms up: the more it bears, the less chance weighs. Warm ones get no more than they can do,
 /// so all gateways together stay under the multiple that fells it.
 const COLD_LEAST: f64 = 0.75;
@@ -107,9 +106,9 @@
     fleet: Millis,
 }
 
-/// One customer as this gateway knows it.
+/// One tenant as this gateway knows it.
 #[derive(Default)]
-struct Customer {
+struct Tenant {
     plan: usize,
     spread: f64,
     place: u32,
@@ -120,7 +119,7 @@
     /// What this gateway has added to the window's count in all, and the last total heard of it.
     added: f64,
     seen: f64,
-    /// What the customer's store holds by all totals heard; between them it fills at the rate.
+    /// What the tenant's store holds by all totals heard; between them it fills at the rate.
     store: f64,
     store_at: Millis,
     known: bool,
@@ -131,7 +130,7 @@
     call: Option<(u64, f64, f64)>,
     /// The call out reads the count of the window before.
     reads_before: bool,
-    /// The window before a customer was known, and the total of its count.
+    /// The window before a tenant was known, and the total of its count.
     before: Option<(u64, f64)>,
     waiting: VecDeque<RequestId>,
     demand: f64,
@@ -141,10 +140,10 @@
     open: u32,
 }
 
-impl Customer {
+impl Tenant {
     /// The quota that is granted under a plan: under a ceiling no more than holds it, also where the plan
     /// itself grants more or names no rate.
-    fn bounded(plan: &Plan) -> Plan {
+    fn bounded(plan: &QuotaPlan) -> QuotaPlan {
         let (rate, burst) = (plan.ceiling_rate / CEILING_TIMES, plan.ceiling_burst / CEILING_TIMES);
         let mut plan = plan.clone();
         if rate > 0.0 && burst > 0.0 {
@@ -155,24 +154,24 @@
         plan
     }
 
-    /// What an unknown customer's store is taken to hold. Under a ceiling only half the burst: a gateway may
+    /// What an unknown tenant's store is taken to hold. Under a ceiling only half the burst: a gateway may
     /// come back to an emptied count while the others have just granted a full burst, and burst + half a
     /// burst + rate x time stays within the ceiling.
-    fn start_of(plan: &Plan) -> f64 {
+    fn start_of(plan: &QuotaPlan) -> f64 {
         if plan.ceiling_rate > 0.0 { plan.burst * CEILING_START } else { plan.burst }
     }
 
-    fn turn(plan: &Plan) -> Millis {
+    fn turn(plan: &QuotaPlan) -> Millis {
         if plan.rate > 0.0 { plan.burst / plan.rate * 1000.0 } else { RATELESS_TURN }
     }
 
     /// Whether the quota is too small for blocks at each gateway; chance decides then, but under no ceiling.
-    fn thin(&self, plan: &Plan) -> bool {
+    fn thin(&self, plan: &QuotaPlan) -> bool {
         plan.rate > 0.0 && plan.ceiling_rate <= 0.0 && plan.burst < THIN * self.spread
     }
 
-    /// How long a window lasts and by how much it is staggered, by hash: customers do not all renew at once.
-    fn window_length(&self, plan: &Plan) -> (Millis, Millis) {
+    /// How long a window lasts and by how much it is staggered, by hash: tenants do not all renew at once.
+    fn window_length(&self, plan: &QuotaPlan) -> (Millis, Millis) {
         let turn = Self::turn(plan);
         let length = if self.thin(plan) { window_length(turn, KEEP_MOST) } else { turn };
         (length, (self.salt % 1024) as f64 / 1024.0 * length)
@@ -183,9 +182,9 @@
         mix(self.salt ^ window.wrapping_mul(0x9e37_79b9_7f4a_7c15)) >> 1
     }
 
-    /// What an unknown customer's store holds by the first total of a window, and by that of the window
+    /// What an unknown tenant's store holds by the first total of a window, and by that of the window
     /// before, as far as it is known.
-    fn first_store(&self, window: u64, total: f64, now: Moment, plan: &Plan) -> f64 {
+    fn first_store(&self, window: u64, total: f64, now: Moment, plan: &QuotaPlan) -> f64 {
         let by_window = Self::start_of(plan) - total;
         let before = self.before.filter(|(before, _)| before.wrapping_add(1) == window);
         before.map_or(by_window, |(_, used)| {
@@ -197,13 +196,13 @@
     }
 
     /// How long ago a window began.
-    fn since_start(&self, window: u64, now: Moment, plan: &Plan) -> Millis {
+    fn since_start(&self, window: u64, now: Moment, plan: &QuotaPlan) -> Millis {
         let (length, shift) = self.window_length(plan);
         (now.fleet - (window as f64 * length - shift)).rem_euclid(CYCLE)
     }
 
     /// Fills the store and moves to the present window: blocks end with theirs, unused.
-    fn roll(&mut self, now: Moment, plan: &Plan) {
+    fn roll(&mut self, now: Moment, plan: &QuotaPlan) {
         if self.thin(plan) {
             self.owed = faded(self.owed, now.own - self.store_at, Self::turn(plan));
         }
@@ -218,14 +217,14 @@
     }
 
     /// The smoothed demand of a short while, as far as an even part of what is left allows.
-    fn demand_block(&self, plan: &Plan) -> f64 {
+    fn demand_block(&self, plan: &QuotaPlan) -> f64 {
         let target = self.demand * Self::turn(plan) * BLOCK_SHARE;
         target.min(self.store * NEAR_SHARE / self.spread).floor()
     }
 
     /// The block wanted now: an even part while there is plenty (so the first is burst over gateways), else
     /// smoothed demand; near the total it falls to what waits.
-    fn block(&self, need: f64, plan: &Plan) -> f64 {
+    fn block(&self, need: f64, plan: &QuotaPlan) -> f64 {
         let plenty = (self.store - plan.burst * NEAR_SHARE) / self.spread;
         let want =
             if self.known { self.demand_block(plan).max(plenty.ceil()) } else { plan.burst / self.spread };
@@ -234,7 +233,7 @@
 
     /// Spends from the even slice, which starts from the store as last known: the silence rule.
     /// Of a store that others have been using, unseen, the slice starts empty.
-    fn spend_slice(&mut self, units: f64, now: Millis, plan: &Plan, unseen: bool) -> bool {
+    fn spend_slice(&mut self, units: f64, now: Millis, plan: &QuotaPlan, unseen: bool) -> bool {
         let start = if unseen { 0.0 } else { self.store.max(0.0) / self.spread };
         let (held, at) = self.slice.unwrap_or((start, now));
         let filled = held + plan.rate * (now - at) / 1000.0 / self.spread;
@@ -257,11 +256,11 @@
 
 #[derive(Default)]
 struct Request {
-    customer: Name,
+    tenant: Name,
     plan: usize,
     class: usize,
     units: f64,
-    /// Let in without a total of its customer; the client has asked for the same before.
+    /// Let in without a total of its tenant; the client has asked for the same before.
     blind: bool,
     repeat: bool,
     arrived: Millis,
@@ -273,7 +272,7 @@
     sent_at: Millis,
 }
 
-/// Chance in one choice among backends: a number drawn for each choice, and one drawn once for a request
+/// Chance in one choice among endpoints: a number drawn for each choice, and one drawn once for a request
 /// that may still go to a cold one.
 #[derive(Clone, Copy)]
 struct Draws {
@@ -281,7 +280,7 @@
     cold: Option<u64>,
 }
 
-/// Whether each gateway sees too little of a backend: choice goes by chance and by all answers together,
+/// Whether each gateway sees too little of an endpoint: choice goes by chance and by all answers together,
 /// and each keeps to a subset.
 fn many(gateways: u32) -> bool {
     ROOM_FIRST < ROOM_LEAST * f64::from(gateways)
@@ -289,7 +288,7 @@
 
 /// One gateway: build it from settings and a seed, then feed it events.
 #[derive(Default)]
-pub struct Gateway {
+pub struct PolicyEngine {
     settings: Settings,
     seed: u64,
     random: u64,
@@ -298,8 +297,8 @@
     fleet_time: FleetTime,
     /// When this gateway began to count with a fleet that had been counting before.
     joined_at: Millis,
-    backends: Members,
-    customers: BTreeMap<Name, Customer>,
+    endpoints: EndpointTable,
+    tenants: BTreeMap<Name, Tenant>,
     requests: BTreeMap<RequestId, Request>,
     queue: VecDeque<RequestId>,
     calls: BTreeMap<u64, Name>,
@@ -307,7 +306,7 @@
     ease: f64,
     /// The share of first totals with room left, for each plan: of first tries, and of clients' repeats.
     plan_odds: Vec<[f64; 2]>,
-    /// Of thin customers: the share of tries that fits and when that was heard, here or by another gateway.
+    /// Of thin tenants: the share of tries that fits and when that was heard, here or by another gateway.
     told: BTreeMap<u64, (f64, Millis)>,
     silences: u32,
     back_at: Millis,
@@ -321,19 +320,19 @@
     ending: bool,
 }
 
-impl Gateway {
+impl PolicyEngine {
     /// A gateway that knows its settings and nothing else.
     ///
     /// # Errors
     /// When the settings cannot be used.
     pub fn new(mut settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        check(&settings)?;
-        settings.plans = settings.plans.iter().map(Customer::bounded).collect();
+        settings.validate()?;
+        settings.plans = settings.plans.iter().map(Tenant::bounded).collect();
         let class_latency = vec![0.0; settings.classes.len()];
         let plan_odds = vec![[1.0, 0.5]; settings.plans.len()];
-        let (number, gateways) = (settings.number, settings.gateways);
+        let (number, gateways) = (settings.gateway_index, settings.gateway_count);
         Ok(Self {
-            backends: Members::new(number, gateways, !many(gateways)),
+            endpoints: EndpointTable::new(number, gateways, !many(gateways)),
             settings,
             seed: mix(seed),
             random: mix(seed),
@@ -346,14 +345,14 @@
         })
     }
 
-    /// How many backends are remembered.
-    pub fn backends(&self) -> usize {
-        self.backends.len()
+    /// How many endpoints are remembered.
+    pub fn endpoints(&self) -> usize {
+        self.endpoints.len()
     }
 
-    /// The backends that this gateway works with, of all that may be sent something new.
+    /// The endpoints that this gateway works with, of all that may be sent something new.
     pub fn subset(&self) -> impl Iterator<Item = &Name> {
-        self.backends.subset().chosen().iter().map(|slot| &self.backends.get(*slot).name)
+        self.endpoints.subset().chosen().iter().map(|slot| &self.endpoints.get(*slot).name)
     }
 
     /// Takes one event at a time and appends what the host is to do.
@@ -361,33 +360,35 @@
         self.now = self.now.max(now);
         if !std::mem::replace(&mut self.sweeping, true) {
             out.push(Action::SetTimer { after: SWEEP, token: SWEEP_TOKEN });
-            if self.settings.list_on_request {
-                out.push(Action::WatchBackends);
+            if self.settings.polls_endpoints {
+                out.push(Action::WatchEndpoints);
             }
         }
         match event {
-            Event::BackendList(list) => self.on_list(list, true, out),
-            Event::BackendChanges(list) => self.on_list(list, false, out),
-            Event::BackendListFailed => out.push(Action::WatchBackends),
-            Event::Request(arrival) => self.on_request(arrival, out),
+            Event::EndpointSnapshot(list) => self.on_list(list, true, out),
+            Event::EndpointDelta(list) => self.on_list(list, false, out),
+            Event::EndpointListFailed => out.push(Action::WatchEndpoints),
+            Event::RequestArrived(arrival) => self.on_request(arrival, out),
             Event::AttemptEnded(end) => {
-                self.on_backend(&end, out);
+                self.on_endpoint(&end, out);
                 self.on_attempt(end, out);
                 self.drain_queue(out);
             }
-            Event::ClientLeft { id } => self.forget(id),
+            Event::ClientDisconnected { id } => self.forget(id),
             Event::Timer { token: SWEEP_TOKEN } => self.on_sweep(out),
             Event::Timer { token } => self.on_hold_over(token / 2, out),
             Event::FleetClock { time } => {
                 let before = std::mem::replace(&mut self.fleet_time, time);
-                if before == FleetTime::Settling && time != before {
+                if before == FleetTime::Converging && time != before {
                     self.joined_at = self.now;
                 }
             }
-            Event::Ending => self.ending = true,
-            Event::Counted { name, outcome, latency } => self.on_counted(name, outcome, latency, out),
-            Event::PeerMessage { bytes, .. } => self.on_told(&bytes),
-            Event::StreamStarted { .. } | Event::ProbeEnded { .. } => {}
+            Event::DrainStarted => self.ending = true,
+            Event::CounterReply { key: name, result: outcome, latency } => {
+                self.on_counted(name, outcome, latency, out)
+            }
+            Event::GossipReceived { bytes, .. } => self.on_told(&bytes),
+            Event::StreamStarted { .. } | Event::HealthCheckEnded { .. } => {}
         }
     }
 
@@ -395,9 +396,9 @@
     /// those worth less first.
     fn taken(&mut self, class: usize, blind: bool) -> bool {
         let classes = &self.settings.classes;
-        let mean = classes.iter().map(|c| c.worth).sum::<f64>() / classes.len() as f64;
-        let rank = mean / classes[class].worth.max(1e-9) * if blind { BLIND_RANK } else { 1.0 };
-        let taken = !many(self.settings.gateways) || self.chance() < self.take.powf(rank);
+        let mean = classes.iter().map(|c| c.priority_weight).sum::<f64>() / classes.len() as f64;
+        let rank = mean / classes[class].priority_weight.max(1e-9) * if blind { BLIND_RANK } else { 1.0 };
+        let taken = !many(self.settings.gateway_count) || self.chance() < self.take.powf(rank);
         if !taken {
             self.take = (self.take * (1.0 + TAKE_AGAIN)).min(1.0);
         }
@@ -405,7 +406,7 @@
     }
 
     fn moment(&self) -> Moment {
-        let offset = if let FleetTime::Known { offset } = self.fleet_time { offset } else { 0.0 };
+        let offset = if let FleetTime::Synchronized { offset } = self.fleet_time { offset } else { 0.0 };
         Moment { own: self.now, fleet: (self.now + offset).rem_euclid(CYCLE) }
     }
 
@@ -414,44 +415,44 @@
         unit(self.random)
     }
 
-    // ---- The list of backends ----
+    // ---- The list of endpoints ----
 
-    fn on_list(&mut self, list: Vec<BackendEntry>, whole: bool, out: &mut Vec<Action>) {
-        self.backends.update(list, whole, self.now);
+    fn on_list(&mut self, list: Vec<EndpointEntry>, whole: bool, out: &mut Vec<Action>) {
+        self.endpoints.update(list, whole, self.now);
         self.drain_queue(out);
     }
 
     // ---- Requests ----
 
     fn on_request(&mut self, arrival: Arrival, out: &mut Vec<Action>) {
-        let Arrival { id, customer: name, .. } = arrival;
+        let Arrival { id, tenant: name, .. } = arrival;
         let class = self.settings.classes.iter().position(|c| c.name == arrival.class);
         let plan = self.settings.plans.iter().position(|p| p.name == arrival.plan);
         let (Some(class), Some(plan)) = (class, plan) else {
-            return out.push(Action::Refuse { id, retry_after: 0.0 });
+            return out.push(Action::Reject { id, retry_after: 0.0 });
         };
         let now = self.now;
         let units = if arrival.units.is_finite() { arrival.units.max(0.0) } else { 1.0 };
-        let (arrived, deadline) = (now, now + arrival.patience);
-        let (customer, repeat, rest) = (name.clone(), arrival.repeat, Request::default());
-        self.requests.insert(id, Request { customer, plan, class, units, repeat, arrived, deadline, ..rest });
-        let customer = self.customers.entry(name.clone()).or_insert_with(|| {
-            let (salt, store) = (hash(&name) >> 8, Customer::start_of(&self.settings.plans[plan]));
-            Customer { plan, salt, store, store_at: now, demand_at: now, ..Customer::default() }
+        let (arrived, deadline) = (now, now + arrival.time_to_deadline);
+        let (tenant, repeat, rest) = (name.clone(), arrival.client_retry, Request::default());
+        self.requests.insert(id, Request { tenant, plan, class, units, repeat, arrived, deadline, ..rest });
+        let tenant = self.tenants.entry(name.clone()).or_insert_with(|| {
+            let (salt, store) = (hash(&name) >> 8, Tenant::start_of(&self.settings.plans[plan]));
+            Tenant { plan, salt, store, store_at: now, demand_at: now, ..Tenant::default() }
         });
-        let gateways = self.settings.gateways;
-        customer.spread = f64::from(arrival.spread.clamp(1, gateways));
-        customer.place = (self.settings.number + gateways - arrival.first % gateways) % gateways;
-        let span = Customer::turn(&self.settings.plans[plan]) * DEMAND_SHARE;
-        customer.demand = customer.demand * (-(now - customer.demand_at) / span).exp() + units / span;
-        customer.demand_at = now;
+        let gateways = self.settings.gateway_count;
+        tenant.spread = f64::from(arrival.gateways_per_tenant.clamp(1, gateways));
+        tenant.place = (self.settings.gateway_index + gateways - arrival.first_gateway % gateways) % gateways;
+        let span = Tenant::turn(&self.settings.plans[plan]) * DEMAND_SHARE;
+        tenant.demand = tenant.demand * (-(now - tenant.demand_at) / span).exp() + units / span;
+        tenant.demand_at = now;
         if self.admit(id, out) {
             self.ask(&name, out);
         }
     }
 
     fn counter_usable(&self) -> bool {
-        self.settings.counter && self.fleet_time != FleetTime::Settling
+        self.settings.has_counter && self.fleet_time != FleetTime::Converging
     }
 
     fn counter_silent(&self) -> bool {
@@ -463,19 +464,19 @@
     fn admit(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let (now, silent) = (self.moment(), self.counter_silent());
         let Some(request) = self.requests.get(&id) else { return false };
-        let (name, units) = (request.customer.clone(), request.units);
-        let Some(customer) = self.customers.get_mut(&name) else { return false };
-        let plan = &self.settings.plans[customer.plan];
-        customer.roll(now, plan);
-        let left = customer.store + customer.lease;
+        let (name, units) = (request.tenant.clone(), request.units);
+        let Some(tenant) = self.tenants.get_mut(&name) else { return false };
+        let plan = &self.settings.plans[tenant.plan];
+        tenant.roll(now, plan);
+        let left = tenant.store + tenant.lease;
         if plan.rate <= 0.0 {
             self.place(id, out);
-        } else if customer.thin(plan) {
+        } else if tenant.thin(plan) {
             return self.admit_thin(id, out);
-        } else if customer.waiting.is_empty() && customer.lease >= units {
-            customer.lease -= units;
-            let target = customer.demand_block(plan);
-            if !silent && target >= 1.0 && customer.lease < target * RENEW_SHARE {
+        } else if tenant.waiting.is_empty() && tenant.lease >= units {
+            tenant.lease -= units;
+            let target = tenant.demand_block(plan);
+            if !silent && target >= 1.0 && tenant.lease < target * RENEW_SHARE {
                 self.ask(&name, out);
             }
             self.place(id, out);
@@ -484,7 +485,7 @@
             if self.calls.is_empty() && self.chance() < self.ease {
                 self.ask(&name, out);
             }
-        } else if customer.known && left < units {
+        } else if tenant.known && left < units {
             self.over_quota(id, units - left, plan.rate, out);
         } else {
             return self.wait_for_total(id, out);
@@ -494,26 +495,26 @@
 
     fn wait_for_total(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let Some(customer) = self.customers.get_mut(&request.customer) else { return false };
-        customer.waiting.push_back(id);
-        let until = request.arrived + self.settings.classes[request.class].aim * BLOCK_WAIT;
+        let Some(tenant) = self.tenants.get_mut(&request.tenant) else { return false };
+        tenant.waiting.push_back(id);
+        let until = request.arrived + self.settings.classes[request.class].latency_objective * BLOCK_WAIT;
         self.hold(id, Stage::Block, until, out);
         true
     }
 
-    /// The gate of a thin customer. A total heard just now decides; else the count is asked, as far as the
+    /// The gate of a thin tenant. A total heard just now decides; else the count is asked, as far as the
     /// counter bears, and the odds heard before decide for the rest. Clients' repeats are no new demand.
     fn admit_thin(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let lucky = self.chance() < self.ease;
         let Some(request) = self.requests.get(&id) else { return false };
         // While the counter cannot bear all calls those for repeats go last: they tell it of no demand.
         let asks = self.counter_usable() && if request.repeat { self.ease >= 1.0 } else { lucky };
-        let Some(customer) = self.customers.get_mut(&request.customer) else { return false };
-        let gap = Customer::turn(&self.settings.plans[customer.plan]) * THIN_GAP;
-        let fresh = self.told.get(&customer.salt).is_some_and(|(_, at)| self.now - at < gap);
-        let calling = customer.call.is_some();
+        let Some(tenant) = self.tenants.get_mut(&request.tenant) else { return false };
+        let gap = Tenant::turn(&self.settings.plans[tenant.plan]) * THIN_GAP;
+        let fresh = self.told.get(&tenant.salt).is_some_and(|(_, at)| self.now - at < gap);
+        let calling = tenant.call.is_some();
         if (fresh || calling) && !request.repeat {
-            customer.owed += request.units;
+            tenant.owed += request.units;
         }
         if calling || asks && !fresh {
             return self.wait_for_total(id, out);
@@ -522,22 +523,22 @@
         false
     }
 
-    /// Decides for a thin customer's try without a total: by the odds last heard, fading to its plan's. Of
-    /// an unknown customer all is let in while that gains more than it costs. What is refused once would come
-    /// again until it is let in, so repeats of a customer beyond its quota are refused.
+    /// Decides for a thin tenant's try without a total: by the odds last heard, fading to its plan's. Of
+    /// an unknown tenant all is let in while that gains more than it costs. What is refused once would come
+    /// again until it is let in, so repeats of a tenant beyond its quota are refused.
     fn by_odds(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let chance = self.chance();
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(customer) = self.customers.get(&request.customer) else { return };
-        let plan = &self.settings.plans[customer.plan];
-        let usual = self.plan_odds[customer.plan][usize::from(request.repeat)];
-        let pays = usual > (1.0 - usual) * (plan.over_cost - plan.over_worth);
+        let Some(tenant) = self.tenants.get(&request.tenant) else { return };
+        let plan = &self.settings.plans[tenant.plan];
+        let usual = self.plan_odds[tenant.plan][usize::from(request.repeat)];
+        let pays = usual > (1.0 - usual) * (plan.over_quota_cost - plan.over_quota_weight);
         let usual = if pays && !request.repeat { 1.0 } else { usual };
-        let told = self.told.get(&customer.salt);
+        let told = self.told.get(&tenant.salt);
         request.blind = told.is_none();
         let (odds, at) = told.copied().unwrap_or_default();
         let odds = if request.repeat { odds.floor() } else { odds };
-        let age = (self.now - at) / Customer::turn(plan);
+        let age = (self.now - at) / Tenant::turn(plan);
         if chance < usual + (-age / THIN_FADE).exp() * (odds - usual) {
             return self.place(id, out);
         }
@@ -545,27 +546,27 @@
         self.over_quota(id, units, rate, out);
     }
 
-    /// A thin customer's total came: it tells what fits for now.
+    /// A thin tenant's total came: it tells what fits for now.
     fn granted_thin(&mut self, name: &Name, window: u64, total: f64, block: f64, out: &mut Vec<Action>) {
         let (now, moment) = (self.now, self.moment());
-        let Some(customer) = self.customers.get_mut(name) else { return };
-        let plan = &self.settings.plans[customer.plan];
-        let turn = Customer::turn(plan);
-        let since = customer.since_start(window, moment, plan);
+        let Some(tenant) = self.tenants.get_mut(name) else { return };
+        let plan = &self.settings.plans[tenant.plan];
+        let turn = Tenant::turn(plan);
+        let since = tenant.since_start(window, moment, plan);
         // A try that weighs more than itself stands for others by chance: that is not held against it.
         let luck = block - block * self.ease;
         let asked = (faded(total, since, turn) - luck).max(0.0);
         let odds = share_let_in(asked, plan.burst, THIN_STRICT);
-        let (told, at) = self.told.insert(customer.salt, (odds, now)).unwrap_or((1.0, f64::NEG_INFINITY));
-        if self.settings.peers && odds < THIN_NEWS && (odds < told * THIN_NEWS || now > at + turn) {
-            let mut bytes = customer.salt.to_le_bytes();
+        let (told, at) = self.told.insert(tenant.salt, (odds, now)).unwrap_or((1.0, f64::NEG_INFINITY));
+        if self.settings.gossip && odds < THIN_NEWS && (odds < told * THIN_NEWS || now > at + turn) {
+            let mut bytes = tenant.salt.to_le_bytes();
             bytes[7] = (odds * 255.0) as u8;
-            out.push(Action::Tell { bytes: bytes.to_vec() });
+            out.push(Action::Gossip { bytes: bytes.to_vec() });
         }
-        let waiting = std::mem::take(&mut customer.waiting);
-        if !std::mem::replace(&mut customer.known, true) {
+        let waiting = std::mem::take(&mut tenant.waiting);
+        if !std::mem::replace(&mut tenant.known, true) {
             let repeat = waiting.iter().any(|id| self.requests.get(id).is_some_and(|r| r.repeat));
-            let usual = &mut self.plan_odds[customer.plan][usize::from(repeat)];
+            let usual = &mut self.plan_odds[tenant.plan][usize::from(repeat)];
             *usual += PLAN_NEWEST * (odds - *usual);
         }
         for id in waiting {
@@ -604,12 +605,12 @@
         }
         let Some(request) = self.requests.get(&id) else { return };
         let room = self.room();
-        let hold = self.settings.classes[request.class].aim * HOLD_SHARE;
+        let hold = self.settings.classes[request.class].latency_objective * HOLD_SHARE;
         let until = if fresh { request.arrived } else { self.now } + hold;
         if until <= self.now || fresh && self.queue.len() as f64 >= room {
             return self.give_up(id, out);
         }
-        let worth = |r: &Request| self.settings.classes[r.class].worth;
+        let worth = |r: &Request| self.settings.classes[r.class].priority_weight;
         let less = |q: &RequestId| self.requests.get(q).is_some_and(|r| worth(r) < worth(request));
         let at = self.queue.iter().position(less).unwrap_or(self.queue.len());
         self.queue.insert(at, id);
@@ -639,10 +640,10 @@
         let Some(request) = self.requests.get(&id) else { return };
         let class = &self.settings.classes[request.class];
         let harmless = request.may_have_run.is_none()
-            || class.effect == Effect::Safe
-            || (class.effect == Effect::Keyed && class.group == Group::All);
+            || class.idempotency == Idempotency::Idempotent
+            || (class.idempotency == Idempotency::WithKey && class.dedup_scope == DedupScope::All);
         if harmless && self.now < request.deadline {
-            let wait = self.settings.longest_advice * (0.3 + 0.4 * self.chance());
+            let wait = self.settings.max_retry_after * (0.3 + 0.4 * self.chance());
             self.refuse(id, wait, out);
         } else {
             self.forget(id);
@@ -652,17 +653,17 @@
 
     fn refuse(&mut self, id: RequestId, wait: Millis, out: &mut Vec<Action>) {
         self.forget(id);
-        out.push(Action::Refuse { id, retry_after: wait.clamp(0.0, self.settings.longest_advice) });
+        out.push(Action::Reject { id, retry_after: wait.clamp(0.0, self.settings.max_retry_after) });
     }
 
-    /// Units of a request that was never sent go back to its customer's block.
+    /// Units of a request that was never sent go back to its tenant's block.
     fn forget(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
-        let Some(customer) = self.customers.get_mut(&request.customer) else { return };
+        let Some(tenant) = self.tenants.get_mut(&request.tenant) else { return };
         match request.stage {
-            Stage::Block => customer.waiting.retain(|w| *w != id),
-            Stage::Out => customer.open = customer.open.saturating_sub(1),
-            Stage::Queue if request.attempts == 0 => customer.lease += request.units,
+            Stage::Block => tenant.waiting.retain(|w| *w != id),
+            Stage::Out => tenant.open = tenant.open.saturating_sub(1),
+            Stage::Queue if request.attempts == 0 => tenant.lease += request.units,
             Stage::Queue => {}
         }
     }
@@ -670,51 +671,53 @@
     fn dispatch(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let chosen = if self.open_allowed(id) { self.pick(id) } else { None };
         let (Some(slot), Some(request)) = (chosen, self.requests.get_mut(&id)) else { return false };
-        let backend = self.backends.sent(slot);
-        if let Some(customer) = self.customers.get_mut(&request.customer) {
-            customer.open += 1;
+        let endpoint = self.endpoints.sent(slot);
+        if let Some(tenant) = self.tenants.get_mut(&request.tenant) {
+            tenant.open += 1;
         }
         (request.stage, request.sent_at, request.attempts) = (Stage::Out, self.now, request.attempts + 1);
         let written_by = self.requests.get(&id).and_then(|request| self.repeat_ends(request));
         let written_by = written_by.map(|end| end - HOLD_UP - self.now);
-        out.push(Action::Send { id, backend, timeout: None, written_by });
+        out.push(Action::ForwardAttempt { id, endpoint, timeout: None, write_timeout: written_by });
         true
     }
 
-    /// The open cap, shared evenly: the gateways first in the customer's set take what does not divide.
+    /// The open cap, shared evenly: the gateways first in the tenant's set take what does not divide.
     fn open_allowed(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let Some(customer) = self.customers.get(&request.customer) else { return true };
-        let cap = self.settings.plans[request.plan].open;
-        let (spread, place) = (customer.spread as u32, customer.place);
-        cap == 0 || customer.open < (cap / spread + u32::from(place < cap % spread)).max(1)
+        let Some(tenant) = self.tenants.get(&request.tenant) else { return true };
+        let cap = self.settings.plans[request.plan].max_in_flight;
+        let (spread, place) = (tenant.spread as u32, tenant.place);
+        cap == 0 || tenant.open < (cap / spread + u32::from(place < cap % spread)).max(1)
     }
 
     fn room(&self) -> f64 {
-        room(&self.backends, self.settings.gateways).max(1.0)
+        room(&self.endpoints, self.settings.gateway_count).max(1.0)
     }
 
-    /// The backend that should answer first: of this gateway's own, else of those that stand by for them.
+    /// The endpoint that should answer first: of this gateway's own, else of those that stand by for them.
     fn pick(&mut self, id: RequestId) -> Option<Slot> {
-        if self.backends.out() >= self.room() {
+        if self.endpoints.out() >= self.room() {
             return None;
         }
-        let many = many(self.settings.gateways);
+        let many = many(self.settings.gateway_count);
         let request = self.requests.get(&id)?;
         let class = &self.settings.classes[request.class];
-        let tied = request.may_have_run.as_ref().filter(|_| class.effect == Effect::Keyed);
+        let tied = request.may_have_run.as_ref().filter(|_| class.idempotency == Idempotency::WithKey);
         // What a request draws once does not change as it looks again: not the sample, and not for cold ones.
         let lot = mix(self.seed ^ id);
         let (first, sample_at) = (request.attempts == 0, mix(!lot ^ u64::from(request.attempts)));
         let draws = Draws { each: self.random, cold: first.then_some(lot) };
-        let subset = self.backends.subset();
+        let subset = self.endpoints.subset();
         let (own, reserve, ready) = (subset.chosen(), subset.reserve(), subset.ready());
         // Cold ones get their share from those whose own they are, and no more.
         let stand_by = reserve.iter().map(|slot| (*slot, f64::INFINITY));
         let any = |slot| (slot, ready as f64);
-        let chosen = match (tied, class.group) {
-            (Some((_, zone, _)), Group::Zone) => self.choose(subset.of_zone(zone).map(any), class, draws),
-            (Some((.., cell)), Group::Cell) => {
+        let chosen = match (tied, class.dedup_scope) {
+            (Some((_, zone, _)), DedupScope::Zone) => {
+                self.choose(subset.of_zone(zone).map(any), class, draws)
+            }
+            (Some((.., cell)), DedupScope::Cell) => {
                 self.choose(subset.of_cell(*cell).iter().copied().map(any), class, draws)
             }
             _ => {
@@ -733,31 +736,33 @@
 
     /// Of these the one with the fewest requests of this gateway, near if equal; each comes with the number
     /// of those that it is one of, and a cold one is taken with odds of its part in so many.
-    fn choose(&self, of: impl IntoIterator<Item = (Slot, f64)>, class: &Class, draws: Draws) -> Option<Slot> {
-        let far = 1.0 + self.settings.price_cross_zone * ZONE_BIAS;
-        let many = many(self.settings.gateways);
+    fn choose(
+        &self, of: impl IntoIterator<Item = (Slot, f64)>, class: &RequestClass, draws: Draws,
+    ) -> Option<Slot> {
+        let far = 1.0 + self.settings.cross_zone_cost * ZONE_BIAS;
+        let many = many(self.settings.gateway_count);
         let mut best: Option<(f64, Slot)> = None;
         for (slot, odds) in of {
-            let backend = self.backends.get(slot);
-            let full = f64::from(backend.out) >= backend.room.ceil();
-            if full || self.now < backend.eject_until {
+            let endpoint = self.endpoints.get(slot);
+            let full = f64::from(endpoint.out) >= endpoint.room.ceil();
+            if full || self.now < endpoint.eject_until {
                 continue;
             }
-            let luck = unit(draws.each ^ backend.salt);
-            let warmth = backend.warmth(self.now, self.backends.starts(), &self.settings);
-            // Guards cold backends with no agreement: by chance their share of an even part, from the
+            let luck = unit(draws.each ^ endpoint.salt);
+            let warmth = endpoint.warmth(self.now, self.endpoints.starts(), &self.settings);
+            // Guards cold endpoints with no agreement: by chance their share of an even part, from the
             // start. One draw for each request, for its first attempt alone: one that waits, or fails, has
             // no better odds the more it looks.
-            let drawn = draws.cold.map_or(f64::INFINITY, |lot| unit(lot ^ backend.salt));
+            let drawn = draws.cold.map_or(f64::INFINITY, |lot| unit(lot ^ endpoint.salt));
             let part = (warmth * (warmth + COLD_LEAST)).min(1.0);
             let score = if warmth >= 1.0 {
                 // Among many, a draw by weight: no two gateways follow the same order.
-                let (queue, heard) = backend.queue;
-                let queue = queue * (-(self.now - heard) / class.aim.max(1.0)).exp();
+                let (queue, heard) = endpoint.queue;
+                let queue = queue * (-(self.now - heard) / class.latency_objective.max(1.0)).exp();
                 let draw =
                     if many { -luck.max(1e-12).ln() * (1.0 + queue).powi(2) } else { 1.0 + 0.1 * luck };
-                let far = if backend.zone == self.settings.zone { 1.0 } else { far };
-                (1.0 + f64::from(backend.out)) * far * draw
+                let far = if endpoint.zone == self.settings.zone { 1.0 } else { far };
+                (1.0 + f64::from(endpoint.out)) * far * draw
             } else if drawn * odds < part {
                 drawn - 1.0
             } else {
@@ -770,60 +775,60 @@
         best.map(|(_, slot)| slot)
     }
 
-    fn on_backend(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
-        let (now, name, latency) = (self.now, &end.backend, end.latency);
-        let Some(backend) = self.backends.ended(name) else { return };
-        if let Some(queue) = end.load.and_then(|load| load.queue) {
-            backend.queue = (queue, now);
+    fn on_endpoint(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
+        let (now, name, latency) = (self.now, &end.endpoint, end.latency);
+        let Some(endpoint) = self.endpoints.ended(name) else { return };
+        if let Some(queue) = end.load_report.and_then(|load| load.queue_length) {
+            endpoint.queue = (queue, now);
         }
         // Of a request that is forgotten neither class nor aim is known.
         let Some(class) = self.requests.get(&end.id).map(|r| r.class) else { return };
         let usual = &mut self.class_latency[class];
         let late = match end.outcome {
             Outcome::Served => {
-                if std::mem::take(&mut backend.told) {
-                    out.push(Action::Log(format!("backend {name} back: it answers again")));
+                if std::mem::take(&mut endpoint.told) {
+                    out.push(Action::Log(format!("endpoint {name} back: it answers again")));
                 }
-                backend.failures = 0;
+                endpoint.failures = 0;
                 *usual = if *usual == 0.0 { latency } else { *usual + USUAL_WEIGHT * (latency - *usual) };
-                latency > self.settings.classes[class].aim * ROOM_SHARE
+                latency > self.settings.classes[class].latency_objective * ROOM_SHARE
             }
-            Outcome::Error | Outcome::NeverSent | Outcome::CalledOff => return,
-            Outcome::Full => true,
+            Outcome::Error | Outcome::NotSent | Outcome::Cancelled => return,
+            Outcome::Rejected => true,
             // A client with little time left proves nothing of the fleet, one that left nothing at all.
             _ => latency > *usual * LATE_LATENCIES,
         };
-        backend.note_latency(late);
+        endpoint.note_latency(late);
         let step = TAKE_STEP * (ROOM_LATE - f64::from(u8::from(late)));
         self.take = (self.take * (1.0 + step)).clamp(TAKE_LEAST, 1.0);
         let lost = end.outcome != Outcome::Served;
-        if lost && backend.failed(now, end, &self.settings) {
-            out.push(Action::Log(format!("backend {name} ejected: {EJECT_TOLD} failures in a row")));
+        if lost && endpoint.failed(now, end, &self.settings) {
+            out.push(Action::Log(format!("endpoint {name} ejected: {EJECT_TOLD} failures in a row")));
         }
     }
 
     fn on_attempt(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
         let (id, outcome) = (end.id, end.outcome);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        // A customer that was idle for long enough has been forgotten; its request is owed an answer all
+        // A tenant that was idle for long enough has been forgotten; its request is owed an answer all
         // the same.
-        let mut customer = self.customers.get_mut(&request.customer);
-        if let (Some(customer), Some(true_units)) = (&mut customer, end.true_units)
+        let mut tenant = self.tenants.get_mut(&request.tenant);
+        if let (Some(tenant), Some(true_units)) = (&mut tenant, end.actual_units)
             && outcome == Outcome::Served
         {
-            customer.owed += true_units - request.units;
-            customer.store -= true_units - request.units;
+            tenant.owed += true_units - request.units;
+            tenant.store -= true_units - request.units;
         }
-        if end.finished || outcome == Outcome::Served {
+        if end.request_finished || outcome == Outcome::Served {
             return self.forget(id);
         }
-        if let Some(customer) = customer {
-            customer.open = customer.open.saturating_sub(1);
+        if let Some(tenant) = tenant {
+            tenant.open = tenant.open.saturating_sub(1);
         }
         request.stage = Stage::Queue;
-        let never_ran = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent);
+        let never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
         if !never_ran && request.may_have_run.is_none() {
-            let home = self.backends.named(&end.backend).map(|b| (request.sent_at, b.zone.clone(), b.cell));
+            let home = self.endpoints.named(&end.endpoint).map(|b| (request.sent_at, b.zone.clone(), b.cell));
             request.may_have_run = home.or(Some((request.sent_at, Name::default(), u64::MAX)));
         }
         if self.may_try_again(id) { self.place(id, out) } else { self.give_up(id, out) }
@@ -831,19 +836,19 @@
 
     fn may_try_again(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let allowed = match (&request.may_have_run, self.settings.classes[request.class].effect) {
-            (None, _) | (_, Effect::Keyed) => true,
-            (_, Effect::Safe) => request.attempts < REPEAT_MOST,
-            (Some(_), Effect::Unsafe) => false,
+        let allowed = match (&request.may_have_run, self.settings.classes[request.class].idempotency) {
+            (None, _) | (_, Idempotency::WithKey) => true,
+            (_, Idempotency::Idempotent) => request.attempts < REPEAT_MOST,
+            (Some(_), Idempotency::NonIdempotent) => false,
         };
-        allowed && self.now < self.send_until(request) && request.attempts < self.settings.most_attempts
+        allowed && self.now < self.send_until(request) && request.attempts < self.settings.max_attempts
     }
 
     /// When a keyed repeat is no longer dropped as one.
     fn repeat_ends(&self, request: &Request) -> Option<Millis> {
         let class = &self.settings.classes[request.class];
-        let tied = request.may_have_run.as_ref().filter(|_| class.effect == Effect::Keyed);
-        tied.map(|(sent, ..)| sent + class.memory)
+        let tied = request.may_have_run.as_ref().filter(|_| class.idempotency == Idempotency::WithKey);
+        tied.map(|(sent, ..)| sent + class.dedup_window)
     }
 
     /// The latest time of a send. A keyed repeat has to come while it is dropped as one, its connection may
@@ -856,62 +861,63 @@
 
     // ---- The counter ----
 
-    /// Adds a block to the customer's count: one call out for each name, and a bound on all.
+    /// Adds a block to the tenant's count: one call out for each name, and a bound on all.
     fn ask(&mut self, name: &Name, out: &mut Vec<Action>) {
-        let (now, usable) = (self.moment(), self.counter_usable() && self.fleet_time != FleetTime::Asked);
-        let Some(customer) = self.customers.get_mut(name) else { return };
+        let (now, usable) = (self.moment(), self.counter_usable() && self.fleet_time != FleetTime::Pending);
+        let Some(tenant) = self.tenants.get_mut(name) else { return };
         let full = self.calls.len() as f64 >= (CALLS_MOST * self.ease).max(1.0);
-        if customer.call.is_some() || !usable || full {
+        if tenant.call.is_some() || !usable || full {
             return;
         }
-        let plan = &self.settings.plans[customer.plan];
-        customer.roll(now, plan);
-        let joined = self.now - self.joined_at < Customer::turn(plan);
-        let before = customer.window.wrapping_sub(1);
-        if joined
-            && !customer.known
-            && !customer.thin(plan)
-            && customer.before.is_none_or(|(b, _)| b != before)
-        {
+        let plan = &self.settings.plans[tenant.plan];
+        tenant.roll(now, plan);
+        let joined = self.now - self.joined_at < Tenant::turn(plan);
+        let before = tenant.window.wrapping_sub(1);
+        if joined && !tenant.known && !tenant.thin(plan) && tenant.before.is_none_or(|(b, _)| b != before) {
             // Guards quotas against gateways that start as a window does: its count tells nothing of what
             // others have used a moment ago.
-            let count = customer.count_name(before);
-            (customer.call, customer.reads_before) = (Some((before, 0.0, 0.0)), true);
+            let count = tenant.count_name(before);
+            (tenant.call, tenant.reads_before) = (Some((before, 0.0, 0.0)), true);
             self.calls.insert(count, name.clone());
-            return out.push(Action::Count { name: count, amount: 0.0, keep: READ_LIFE });
+            return out.push(Action::IncrementCounter { key: count, amount: 0.0, ttl: READ_LIFE });
         }
-        let waiting = customer.waiting.iter().filter_map(|id| self.requests.get(id));
-        let block = if customer.thin(plan) {
+        let waiting = tenant.waiting.iter().filter_map(|id| self.requests.get(id));
+        let block = if tenant.thin(plan) {
             let first: f64 = waiting.filter(|r| !r.repeat).map(|r| r.units).sum();
             first / self.ease
         } else {
             let need: f64 = waiting.map(|r| r.units).sum();
-            let need = need.min(customer.store.max(1.0));
-            let block = if self.ending { need } else { customer.block(need, plan) };
-            (block - customer.lease).max(0.0)
+            let need = need.min(tenant.store.max(1.0));
+            let block = if self.ending { need } else { tenant.block(need, plan) };
+            (block - tenant.lease).max(0.0)
         };
-        let owed = std::mem::take(&mut customer.owed);
-        let count = customer.count_name(customer.window);
-        customer.call = Some((customer.window, block, owed));
+        let owed = std::mem::take(&mut tenant.owed);
+        let count = tenant.count_name(tenant.window);
+        tenant.call = Some((tenant.window, block, owed));
         self.calls.insert(count, name.clone());
-        let (length, _) = customer.window_length(plan);
-        let (weight, keep) = if customer.thin(plan) {
-            (weight(customer.since_start(customer.window, now, plan), Customer::turn(plan)), length)
+        let (length, _) = tenant.window_length(plan);
+        let (weight, keep) = if tenant.thin(plan) {
+            (weight(tenant.since_start(tenant.window, now, plan), Tenant::turn(plan)), length)
         } else {
             (1.0, (length * IDLE_TURNS).min(KEEP_MOST))
         };
-        out.push(Action::Count { name: count, amount: (block + owed) * weight, keep });
+        out.push(Action::IncrementCounter { key: count, amount: (block + owed) * weight, ttl: keep });
     }
 
-    fn on_counted(&mut self, count: u64, outcome: CountOutcome, latency: Millis, out: &mut Vec<Action>) {
+    fn on_counted(&mut self, count: u64, outcome: CounterResult, latency: Millis, out: &mut Vec<Action>) {
         let Some(name) = self.calls.remove(&count) else { return };
-        let wait = self.settings.classes.iter().map(|c| c.aim * BLOCK_WAIT).fold(f64::INFINITY, f64::min);
+        let wait = self
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.latency_objective * BLOCK_WAIT)
+            .fold(f64::INFINITY, f64::min);
         let quick = wait * EASE_SHARE;
-        let slow = if matches!(outcome, CountOutcome::Total(_)) { latency / quick } else { f64::INFINITY };
+        let slow = if matches!(outcome, CounterResult::Total(_)) { latency / quick } else { f64::INFINITY };
         let step = EASE_STEP * (1.0 - slow).max(-2.0);
         self.ease = (self.ease * (1.0 + step)).clamp(EASE_LEAST, 1.0);
-        let CountOutcome::Total(total) = outcome else {
-            return self.silent(&name, outcome == CountOutcome::Unknown, out);
+        let CounterResult::Total(total) = outcome else {
+            return self.silent(&name, outcome == CounterResult::Unknown, out);
         };
         if std::mem::take(&mut self.told_silent) {
             self.back_at = self.now;
@@ -924,53 +930,53 @@
     /// A total came: learn the store from it, keep what fits, give the rest back, serve who waits.
     fn granted(&mut self, name: &Name, total: f64, out: &mut Vec<Action>) {
         let (now, moment) = (self.now, self.moment());
-        let Some(customer) = self.customers.get_mut(name) else { return };
-        let Some((window, block, owed)) = customer.call.take() else { return };
-        if std::mem::take(&mut customer.reads_before) {
-            customer.before = Some((window, total));
+        let Some(tenant) = self.tenants.get_mut(name) else { return };
+        let Some((window, block, owed)) = tenant.call.take() else { return };
+        if std::mem::take(&mut tenant.reads_before) {
+            tenant.before = Some((window, total));
             return self.ask(name, out);
         }
-        let plan = &self.settings.plans[customer.plan];
-        if customer.thin(plan) {
+        let plan = &self.settings.plans[tenant.plan];
+        if tenant.thin(plan) {
             return self.granted_thin(name, window, total, block, out);
         }
-        customer.roll(moment, plan);
-        let slice = customer.slice.take();
-        if plan.ceiling_rate > 0.0 && customer.known && customer.heard < self.back_at {
+        tenant.roll(moment, plan);
+        let slice = tenant.slice.take();
+        if plan.ceiling_rate > 0.0 && tenant.known && tenant.heard < self.back_at {
             // Guards against a counter that comes back empty: what others spent in the silence is told
-            // nowhere. Only the own slice (or an unknown customer's start) is sure to be left.
-            customer.store = customer.store.min(slice.map_or(Customer::start_of(plan), |(held, _)| held));
+            // nowhere. Only the own slice (or an unknown tenant's start) is sure to be left.
+            tenant.store = tenant.store.min(slice.map_or(Tenant::start_of(plan), |(held, _)| held));
         }
-        customer.heard = now;
-        if window == customer.window {
+        tenant.heard = now;
+        if window == tenant.window {
             // What the slice let in while the call was out is paid from the block: it was added.
-            let paid = customer.owed.clamp(0.0, block);
-            (customer.owed, customer.store) = (customer.owed - paid, customer.store + paid);
-            customer.added += block + owed;
-            if !customer.known {
+            let paid = tenant.owed.clamp(0.0, block);
+            (tenant.owed, tenant.store) = (tenant.owed - paid, tenant.store + paid);
+            tenant.added += block + owed;
+            if !tenant.known {
                 // Who has served from its even slice so far goes by that, too: the total tells of the present
                 // window alone, which may have begun just now.
-                let held = slice.map_or(f64::INFINITY, |(held, _)| held * customer.spread);
-                customer.store = customer.first_store(window, total, moment, plan).min(held);
-                customer.known = true;
-            } else if total + 1e-6 < customer.added {
+                let held = slice.map_or(f64::INFINITY, |(held, _)| held * tenant.spread);
+                tenant.store = tenant.first_store(window, total, moment, plan).min(held);
+                tenant.known = true;
+            } else if total + 1e-6 < tenant.added {
                 // Guards against an emptied count: what is held is told again, lest new blocks stack on it.
-                customer.owed += customer.added - total;
-                customer.store -= block;
+                tenant.owed += tenant.added - total;
+                tenant.store -= block;
             } else {
-                customer.store = (customer.store - (total - customer.seen - owed)).min(plan.burst);
+                tenant.store = (tenant.store - (total - tenant.seen - owed)).min(plan.burst);
             }
-            customer.seen = total;
-            customer.lease += block - paid;
-            if customer.store < 0.0 {
-                let back = customer.lease.min((-customer.store).ceil()).min(block);
-                customer.lease -= back;
-                customer.owed -= back;
-                customer.store += back;
+            tenant.seen = total;
+            tenant.lease += block - paid;
+            if tenant.store < 0.0 {
+                let back = tenant.lease.min((-tenant.store).ceil()).min(block);
+                tenant.lease -= back;
+                tenant.owed -= back;
+                tenant.store += back;
             }
         }
-        let waiting = std::mem::take(&mut customer.waiting);
-        let give_back = customer.owed <= -1.0;
+        let waiting = std::mem::take(&mut tenant.waiting);
+        let give_back = tenant.owed <= -1.0;
         let wait = waiting.into_iter().filter(|id| self.admit(*id, out)).count();
         if wait > 0 || give_back {
             self.ask(name, out);
@@ -983,31 +989,31 @@
         if self.counter_silent() && !std::mem::replace(&mut self.told_silent, true) {
             out.push(Action::Log("counter silent: spending blocks and even slices".into()));
         }
-        let Some(customer) = self.customers.get_mut(name) else { return };
-        customer.reads_before = false;
-        let (_, _, owed) = customer.call.take().unwrap_or_default();
-        customer.owed += if may_have_counted { owed.max(0.0) } else { owed };
-        for id in std::mem::take(&mut customer.waiting) {
+        let Some(tenant) = self.tenants.get_mut(name) else { return };
+        tenant.reads_before = false;
+        let (_, _, owed) = tenant.call.take().unwrap_or_default();
+        tenant.owed += if may_have_counted { owed.max(0.0) } else { owed };
+        for id in std::mem::take(&mut tenant.waiting) {
             self.by_slice(id, out);
         }
     }
 
     /// The silence rule for one request: the even slice or refusal.
     fn by_slice(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let (now, settling) = (self.moment(), self.fleet_time == FleetTime::Settling);
+        let (now, settling) = (self.moment(), self.fleet_time == FleetTime::Converging);
         let Some(request) = self.requests.get(&id) else { return };
-        let Some(customer) = self.customers.get_mut(&request.customer) else { return };
+        let Some(tenant) = self.tenants.get_mut(&request.tenant) else { return };
         let plan = &self.settings.plans[request.plan];
-        customer.waiting.retain(|w| *w != id);
-        if customer.thin(plan) {
+        tenant.waiting.retain(|w| *w != id);
+        if tenant.thin(plan) {
             return self.by_odds(id, out);
         }
-        customer.roll(now, plan);
-        if customer.spend_slice(request.units, now.own, plan, settling) {
+        tenant.roll(now, plan);
+        if tenant.spend_slice(request.units, now.own, plan, settling) {
             return self.place(id, out);
         }
-        let short = request.units - customer.slice.map_or(0.0, |s| s.0);
-        let rate = plan.rate / customer.spread;
+        let short = request.units - tenant.slice.map_or(0.0, |s| s.0);
+        let rate = plan.rate / tenant.spread;
         self.over_quota(id, short, rate, out);
     }
 
@@ -1018,22 +1024,22 @@
         let (now, moment, mut asking) = (self.now, self.moment(), Vec::new());
         let (plans, ending) = (&self.settings.plans, self.ending);
         self.told.retain(|_, (_, at)| now - *at < KEEP_MOST);
-        self.backends.forget_gone();
-        self.customers.retain(|name, customer| {
-            let plan = &plans[customer.plan];
-            let (idle, turn) = (now - customer.demand_at, Customer::turn(plan));
-            customer.roll(moment, plan);
-            let scarce = customer.store < plan.burst * NEAR_SHARE;
-            if (scarce && idle > turn * BLOCK_SHARE || ending) && customer.lease >= 1.0 {
-                let lease = std::mem::take(&mut customer.lease);
-                (customer.owed, customer.store) = (customer.owed - lease, customer.store + lease);
+        self.endpoints.forget_gone();
+        self.tenants.retain(|name, tenant| {
+            let plan = &plans[tenant.plan];
+            let (idle, turn) = (now - tenant.demand_at, Tenant::turn(plan));
+            tenant.roll(moment, plan);
+            let scarce = tenant.store < plan.burst * NEAR_SHARE;
+            if (scarce && idle > turn * BLOCK_SHARE || ending) && tenant.lease >= 1.0 {
+                let lease = std::mem::take(&mut tenant.lease);
+                (tenant.owed, tenant.store) = (tenant.owed - lease, tenant.store + lease);
             }
             let least = if ending { 1.0 } else { (plan.burst * BLOCK_SHARE).max(1.0) };
-            let owes = !customer.thin(plan) && customer.owed.abs() >= least;
-            if customer.call.is_none() && (owes || !customer.waiting.is_empty()) {
+            let owes = !tenant.thin(plan) && tenant.owed.abs() >= least;
+            if tenant.call.is_none() && (owes || !tenant.waiting.is_empty()) {
                 asking.push(name.clone());
             }
-            let busy = customer.call.is_some() || customer.open > 0 || !customer.waiting.is_empty();
+            let busy = tenant.call.is_some() || tenant.open > 0 || !tenant.waiting.is_empty();
             busy || idle < turn * IDLE_TURNS
         });
         if !self.counter_silent() {
--- a/src/fleet_clock.rs
+++ b/policy/src/fleet_clock.rs
@@ -11,7 +11,7 @@
 //! reports how they ended, and tells its gateway of [`FleetClock::time`] by `Event::FleetClock`.
 
 use crate::hash::{hash, mix, unit};
-use crate::interface::{CountOutcome, FleetTime, Millis};
+use crate::{CounterResult, FleetTime, Millis};
 
 /// The fleet's time is told modulo this, as a total is exact to seven digits only.
 pub const CYCLE: Millis = 4_000_000.0;
@@ -50,12 +50,12 @@
 /// A call of the counter that the host is to make.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RegisterCall {
-    /// The count's name.
-    pub name: u64,
+    /// The counter key.
+    pub key: u64,
     /// What to add.
     pub amount: f64,
     /// The life of a new name.
-    pub keep: Millis,
+    pub ttl: Millis,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -130,10 +130,10 @@
     /// What is known of the fleet's time.
     pub fn time(&self) -> FleetTime {
         match self.bounds {
-            None if self.failures == 0 && self.gateways <= SMALL_FLEET => FleetTime::Asked,
-            None => FleetTime::Unknown,
-            Some(_) if !self.settled => FleetTime::Settling,
-            Some(_) => FleetTime::Known { offset: self.offset },
+            None if self.failures == 0 && self.gateways <= SMALL_FLEET => FleetTime::Pending,
+            None => FleetTime::Unavailable,
+            Some(_) if !self.settled => FleetTime::Converging,
+            Some(_) => FleetTime::Synchronized { offset: self.offset },
         }
     }
 
@@ -154,13 +154,13 @@
             Call::Write { mark } => mark,
             Call::Undo { mark } => -mark,
         };
-        Some(RegisterCall { name: Self::register(), amount, keep: LIFE })
+        Some(RegisterCall { key: Self::register(), amount, ttl: LIFE })
     }
 
     /// Takes in how a call ended.
-    pub fn answered(&mut self, now: Millis, outcome: CountOutcome) {
+    pub fn answered(&mut self, now: Millis, outcome: CounterResult) {
         let Some(call) = self.out.take() else { return };
-        let CountOutcome::Total(total) = outcome else {
+        let CounterResult::Total(total) = outcome else {
             self.failures += 1;
             let doubled = f64::from(self.failures - 1).exp2();
             self.due = if self.settled {
--- a/src/hash.rs
+++ b/policy/src/hash.rs
@@ -1,4 +1,4 @@
-//! Fixed hashes: from them come names of counts, an order among backends, and chance.
+//! Fixed hashes: from them come names of counts, an order among endpoints, and chance.
 
 /// A hash of a text.
 pub(crate) fn hash(text: &str) -> u64 {
--- a/src/subset.rs
+++ b/policy/src/subset.rs
@@ -1,40 +1,40 @@
-//! Deterministic subsetting: which backends one of many gateways works with.
+//! Deterministic subsetting: which endpoints one of many gateways works with.
 //!
-//! The problem: if each of many gateways used each backend, connections, handshakes and cold starts would
-//! cost the fleet gateways times backends; if each drew its own by chance, some backends would be many
+//! The problem: if each of many gateways used each endpoint, connections, handshakes and cold starts would
+//! cost the fleet gateways times endpoints; if each drew its own by chance, some endpoints would be many
 //! gateways' and others nobody's. So the subset is computed, from the gateway's number and the list alone,
 //! and needs no talk.
 //!
-//! Gateways are dealt into `GATEWAYS_EACH` groups. Each group has its own ring: a hash puts every backend
+//! Gateways are dealt into `GATEWAYS_EACH` groups. Each group has its own ring: a hash puts every endpoint
 //! into one of as many bins as the group has gateways, and a bin is one gateway's. That is rendezvous
 //! hashing with bounded loads: a bin that has more than its even part, and some slack, passes the rest on
-//! to the next. So each backend is in the subset of one gateway of each group, subsets are about alike in
-//! size, and a backend that comes or goes changes only its own bins and those that a passed-on backend
+//! to the next. So each endpoint is in the subset of one gateway of each group, subsets are about alike in
+//! size, and an endpoint that comes or goes changes only its own bins and those that a passed-on endpoint
 //! reaches. Zones have rings of their own, so every subset holds an even part of each zone and none depends
 //! on one of them.
 
+use crate::Name;
 use crate::hash::{hash, mix, unit};
-use crate::interface::Name;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
 
-/// So many gateways send to each backend, at least: the more, the less the traffic of one gateway weighs at
-/// a backend; the fewer, the fewer connections each backend holds, and the more requests share one.
+/// So many gateways send to each endpoint, at least: the more, the less the traffic of one gateway weighs at
+/// an endpoint; the fewer, the fewer connections each endpoint holds, and the more requests share one.
 const GATEWAYS_EACH: u32 = 8;
-/// A subset has so many backends at least, if there are as many: what one or two of them cannot bear the
+/// A subset has so many endpoints at least, if there are as many: what one or two of them cannot bear the
 /// others can. Where gateways are so many that bins are smaller, several bins in a row make one subset.
 const LEAST: f64 = 4.0;
 /// Bins take so much more than an even part: little, or sizes differ; some, or a change is passed on far.
-/// With this much, subsets of 5 are of 3 to 6, and a replaced backend is a new entry of 51 of 300 subsets
+/// With this much, subsets of 5 are of 3 to 6, and a replaced endpoint is a new entry of 51 of 300 subsets
 /// where 8 would be the least.
 const SLACK: f64 = 0.02;
-/// So many further backends stand by for those of the subset.
+/// So many further endpoints stand by for those of the subset.
 const RESERVE: usize = 16;
 
-/// The place of a backend in the tables of its owner.
+/// The place of an endpoint in the tables of its owner.
 pub(crate) type Slot = usize;
 
-/// The backends of one zone that may be sent something new, in bins by their hash.
+/// The endpoints of one zone that may be sent something new, in bins by their hash.
 struct Ring {
     bins: Vec<Vec<(u64, Slot)>>,
     size: usize,
@@ -88,14 +88,14 @@
         }
     }
 
-    /// The backends of the bins from `first` on, all the way round.
+    /// The endpoints of the bins from `first` on, all the way round.
     fn from(&self, first: usize) -> impl Iterator<Item = Slot> {
         let (before, after) = self.bins.split_at(first % self.bins.len());
         after.iter().chain(before).flatten().map(|(_, slot)| *slot)
     }
 }
 
-/// The subset of one gateway. It follows the list: what is told of one backend touches its bin alone, and
+/// The subset of one gateway. It follows the list: what is told of one endpoint touches its bin alone, and
 /// what that leads to is worked out once for all that one list tells (`refresh`).
 #[derive(Default)]
 pub(crate) struct Subset {
@@ -125,7 +125,7 @@
         mix(salt ^ mix(self.group + 1))
     }
 
-    /// A backend may be sent something new from now on; its salt is a hash of its name.
+    /// An endpoint may be sent something new from now on; its salt is a hash of its name.
     pub(crate) fn insert(&mut self, slot: Slot, salt: u64, zone: &Name, cell: u64) {
         let (position, bins) = (self.position(salt), self.bins);
         if !self.rings.contains_key(zone) {
@@ -140,7 +140,7 @@
         self.stale = true;
     }
 
-    /// A backend that was inserted so may be sent nothing new any more.
+    /// An endpoint that was inserted so may be sent nothing new any more.
     pub(crate) fn remove(&mut self, slot: Slot, salt: u64, zone: &Name, cell: u64) {
         let position = self.position(salt);
         if let Some(ring) = self.rings.get_mut(zone) {
@@ -183,12 +183,12 @@
         }
     }
 
-    /// How many backends of the whole fleet may be sent something new.
+    /// How many endpoints of the whole fleet may be sent something new.
     pub(crate) fn ready(&self) -> usize {
         self.ready
     }
 
-    /// This gateway's own backends.
+    /// This gateway's own endpoints.
     pub(crate) fn chosen(&self) -> &[Slot] {
         &self.chosen
     }
@@ -198,12 +198,12 @@
         &self.reserve
     }
 
-    /// Backends of a zone, the gateway's own first: as many as stand by at most.
+    /// Endpoints of a zone, the gateway's own first: as many as stand by at most.
     pub(crate) fn of_zone(&self, zone: &Name) -> impl Iterator<Item = Slot> {
         self.rings.get(zone).into_iter().flat_map(|ring| ring.from(self.bin)).take(RESERVE)
     }
 
-    /// The backends of a cell.
+    /// The endpoints of a cell.
     pub(crate) fn of_cell(&self, cell: u64) -> &[Slot] {
         self.cells.get(&cell).map_or(&[], Vec::as_slice)
     }
--- a/tests/ceilings.rs
+++ b/policy/tests/ceilings.rs
@@ -2,13 +2,13 @@
 //! counter that comes back empty, restarts and requests of several units. `--nocapture` prints the lowest store.
 
 mod helper;
-use doorcourse::*;
 use helper::*;
+use ryefront_policy::*;
 use std::collections::BTreeMap;
 
 const END: Millis = 30_000.0;
 
-/// One customer under a ceiling, that asks far more than it may at all of its gateways.
+/// One tenant under a ceiling, that asks far more than it may at all of its gateways.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     gateways: u32,
@@ -26,7 +26,7 @@
     loses: Millis,
     /// Each gateway lives this long; they are started anew one after the other.
     lives: Millis,
-    /// The customer asks in this share of each 3 s.
+    /// The tenant asks in this share of each 3 s.
     asks: f64,
 }
 
@@ -55,7 +55,7 @@
     case: Case,
     settings: Settings,
     random: Random,
-    gateways: Vec<Gateway>,
+    gateways: Vec<PolicyEngine>,
     started: u64,
     agenda: Agenda<Step>,
     now: Millis,
@@ -75,7 +75,7 @@
         (plan.rate, plan.burst) = (case.rate, case.burst);
         (plan.ceiling_rate, plan.ceiling_burst) = (5.0 * case.ceiling, case.burst * case.ceiling);
         plan.ceiling_slack = (0.1 * plan.ceiling_burst).max(case.most_units as f64);
-        (set.gateways, set.most_units) = (case.gateways, case.most_units as f64);
+        (set.gateway_count, set.max_units) = (case.gateways, case.most_units as f64);
         let store = plan.ceiling_burst;
         let mut fleet = Self {
             case,
@@ -105,12 +105,12 @@
         fleet
     }
 
-    fn start(&mut self, number: u32) -> Gateway {
+    fn start(&mut self, number: u32) -> PolicyEngine {
         self.started += 1;
-        let set = Settings { number, ..self.settings.clone() };
-        let gateway = Gateway::new(set, 7919 * self.started).expect("usable settings");
-        let list = (0..20).map(|n| backend(&format!("a{n}"), BackendState::Ready, None)).collect();
-        self.agenda.at(self.now, Step::Tell(number, Event::BackendList(list)));
+        let set = Settings { gateway_index: number, ..self.settings.clone() };
+        let gateway = PolicyEngine::new(set, 7919 * self.started).expect("usable settings");
+        let list = (0..20).map(|n| endpoint(&format!("a{n}"), EndpointState::Ready, None)).collect();
+        self.agenda.at(self.now, Step::Tell(number, Event::EndpointSnapshot(list)));
         gateway
     }
 
@@ -145,16 +145,16 @@
         self.units.insert(id, units);
         let arrival = Arrival {
             id,
-            customer: "c".into(),
+            tenant: "c".into(),
             plan: "ceiling".into(),
             class: "safe".into(),
             units,
-            repeat: false,
-            patience: 2000.0,
-            first: 0,
-            spread: self.case.gateways,
+            client_retry: false,
+            time_to_deadline: 2000.0,
+            first_gateway: 0,
+            gateways_per_tenant: self.case.gateways,
         };
-        self.tell(gateway, Event::Request(arrival));
+        self.tell(gateway, Event::RequestArrived(arrival));
     }
 
     fn tell(&mut self, gateway: u32, event: Event) {
@@ -165,25 +165,25 @@
                 Action::SetTimer { after, token } => {
                     self.agenda.at(self.now + after, Step::Tell(gateway, Event::Timer { token }));
                 }
-                Action::Count { name, amount, .. } => {
+                Action::IncrementCounter { key: name, amount, .. } => {
                     let (from, until) = self.case.silent;
                     let (outcome, latency) = if self.now < from || self.now >= until {
                         let total = self.totals.entry(name).or_default();
                         *total += amount;
-                        (CountOutcome::Total(*total), 2.0)
+                        (CounterResult::Total(*total), 2.0)
                     } else {
-                        (CountOutcome::Unknown, 50.0)
+                        (CounterResult::Unknown, 50.0)
                     };
-                    let counted = Event::Counted { name, outcome, latency };
+                    let counted = Event::CounterReply { key: name, result: outcome, latency };
                     self.agenda.at(self.now + latency, Step::Tell(gateway, counted));
                 }
-                Action::Send { id, backend, .. } => self.send(gateway, id, backend),
+                Action::ForwardAttempt { id, endpoint, .. } => self.send(gateway, id, endpoint),
                 _ => {}
             }
         }
     }
 
-    fn send(&mut self, gateway: u32, id: RequestId, backend: Name) {
+    fn send(&mut self, gateway: u32, id: RequestId, endpoint: Name) {
         let plan = &self.settings.plans[1];
         let filled = self.store + plan.ceiling_rate * (self.now - self.filled) / 1000.0;
         self.store = filled.min(plan.ceiling_burst) - self.units[&id];
@@ -192,12 +192,12 @@
         let end = AttemptEnd {
             id,
             attempt: 0,
-            backend,
+            endpoint,
             outcome: Outcome::Served,
             latency: 10.0,
-            true_units: None,
-            finished: true,
-            load: None,
+            actual_units: None,
+            request_finished: true,
+            load_report: None,
         };
         self.agenda.at(self.now + 10.0, Step::Tell(gateway, Event::AttemptEnded(end)));
     }
@@ -218,7 +218,7 @@
     assert!(over.is_empty(), "{over:#?}");
 }
 
-/// With one gateway, some, and as many as may share such a customer (its ceiling holds two of the largest requests
+/// With one gateway, some, and as many as may share such a tenant (its ceiling holds two of the largest requests
 /// for each); with small and large requests.
 fn sizes(case: Case) -> Vec<Case> {
     let most = |most_units: u64| (case.ceiling * case.burst / 2.0 / most_units as f64) as u32;
--- a/tests/counter_silence.rs
+++ b/policy/tests/counter_silence.rs
@@ -1,12 +1,12 @@
 //! The counter silent, slow or emptied; the ceiling through all of it.
 
 mod helper;
-use doorcourse::*;
 use helper::*;
+use ryefront_policy::*;
 
 fn silence(door: &mut Door, name: u64) -> Vec<Action> {
     door.now += 50.0;
-    door.tell(Event::Counted { name, outcome: CountOutcome::Unknown, latency: 50.0 })
+    door.tell(Event::CounterReply { key: name, result: CounterResult::Unknown, latency: 50.0 })
 }
 
 /// Offers a request every 20 ms while the counter says nothing; gives how many went on.
--- a/tests/backends.rs
+++ b/policy/tests/endpoints.rs
@@ -1,29 +1,29 @@
-//! Drains, cold backends, ejection and room.
+//! Drains, cold endpoints, ejection and room.
 
 mod helper;
-use doorcourse::*;
 use helper::*;
+use ryefront_policy::*;
 
 #[test]
-fn a_drained_or_gone_backend_gets_nothing_new() {
-    for state in [BackendState::Draining, BackendState::Gone] {
+fn a_drained_or_gone_endpoint_gets_nothing_new() {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut door = Door::new(settings(), &["a1", "a2"]);
-        door.tell(Event::BackendChanges(vec![backend("a1", state, None)]));
+        door.tell(Event::EndpointDelta(vec![endpoint("a1", state, None)]));
         for id in 1..=4 {
             assert_eq!(&*door.served(id, "c", "plain", "safe"), "a2");
             door.end(id, 0, &"a2".into(), Outcome::Served);
         }
     }
     let mut door = Door::new(settings(), &["a1", "a2"]);
-    door.tell(Event::BackendList(vec![backend("a2", BackendState::Ready, None)]));
+    door.tell(Event::EndpointSnapshot(vec![endpoint("a2", EndpointState::Ready, None)]));
     assert_eq!(&*door.served(1, "c", "plain", "safe"), "a2", "missing from a full list is gone");
 }
 
 #[test]
-fn a_cold_backend_gets_less_than_its_present_share_of_what_a_warm_one_gets() {
+fn a_cold_endpoint_gets_less_than_its_present_share_of_what_a_warm_one_gets() {
     let mut door = Door::new(settings(), &["a1", "a2"]);
     let born = Some(door.now);
-    door.tell(Event::BackendChanges(vec![backend("a3", BackendState::Ready, born)]));
+    door.tell(Event::EndpointDelta(vec![endpoint("a3", EndpointState::Ready, born)]));
     let mut to_cold = 0;
     for id in 1..=100 {
         let at = door.served(id, &format!("c{id}"), "plain", "safe");
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn failures_in_a_row_eject_a_backend_and_an_answer_takes_it_back() {
+fn failures_in_a_row_eject_an_endpoint_and_an_answer_takes_it_back() {
     let mut door = Door::new(settings(), &["a1", "a2"]);
     let (mut id, mut logs) = (0, Vec::new());
     let mut silent = 0;
@@ -69,12 +69,13 @@
 }
 
 #[test]
-fn connections_that_break_leave_a_backend_in_use_until_three_in_a_row() {
+fn connections_that_break_leave_an_endpoint_in_use_until_three_in_a_row() {
     let mut door = Door::new(settings(), &["a1"]);
     let a1: Name = "a1".into();
-    for (round, outcomes) in
-        [(0, [Outcome::Broken, Outcome::Broken, Outcome::Served]), (1, [Outcome::Broken; 3])]
-    {
+    for (round, outcomes) in [
+        (0, [Outcome::ConnectionReset, Outcome::ConnectionReset, Outcome::Served]),
+        (1, [Outcome::ConnectionReset; 3]),
+    ] {
         for (n, outcome) in outcomes.into_iter().enumerate() {
             let id = round * 10 + n as u64 + 1;
             door.served(id, &format!("c{id}"), "plain", "unsafe");
@@ -83,7 +84,7 @@
     }
     let did = door.ask(50, "c50", "plain", "unsafe");
     let (name, amount) = count(&did).expect("a call");
-    assert_eq!(sends(&door.total(name, amount)), 0, "the third in a row speaks of the backend");
+    assert_eq!(sends(&door.total(name, amount)), 0, "the third in a row speaks of the endpoint");
 }
 
 #[test]
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn an_open_cap_is_shared_by_the_customer_s_gateways() {
+fn an_open_cap_is_shared_by_the_tenant_s_gateways() {
     let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
     let at = door.served(1, "c", "capped", "safe");
     assert_eq!(sends(&door.ask(2, "c", "capped", "safe")), 0, "two at once for two gateways: one each");
@@ -110,33 +111,42 @@
 }
 
 #[test]
-fn gone_backends_are_forgotten_once_nothing_is_out_there() {
+fn gone_endpoints_are_forgotten_once_nothing_is_out_there() {
     let mut door = Door::new(settings(), &["a0"]);
     let at = door.served(1, "c", "plain", "safe");
     for number in 1..=500 {
         let (old, new) = (format!("a{}", number - 1), format!("a{number}"));
-        let changes = vec![backend(&old, BackendState::Gone, None), backend(&new, BackendState::Ready, None)];
+        let changes =
+            vec![endpoint(&old, EndpointState::Removed, None), endpoint(&new, EndpointState::Ready, None)];
         // By changes and by whole lists alike.
-        let whole = vec![backend(&new, BackendState::Ready, None)];
-        door.tell(if number % 2 == 0 { Event::BackendChanges(changes) } else { Event::BackendList(whole) });
+        let whole = vec![endpoint(&new, EndpointState::Ready, None)];
+        door.tell(if number % 2 == 0 {
+            Event::EndpointDelta(changes)
+        } else {
+            Event::EndpointSnapshot(whole)
+        });
         door.now += 25.0;
         door.tell(Event::Timer { token: 1 });
     }
-    assert_eq!(door.gateway.backends(), 2, "the last one, and the first, from which an end is still to come");
+    assert_eq!(
+        door.gateway.endpoints(),
+        2,
+        "the last one, and the first, from which an end is still to come"
+    );
     door.end(1, 0, &at, Outcome::Served);
     door.tell(Event::Timer { token: 1 });
-    assert_eq!(door.gateway.backends(), 1);
+    assert_eq!(door.gateway.endpoints(), 1);
 }
 
 #[test]
-fn a_keyed_repeat_stays_in_its_cell_when_its_first_backend_is_forgotten() {
+fn a_keyed_repeat_stays_in_its_cell_when_its_first_endpoint_is_forgotten() {
     let mut door = Door::new(settings(), &["a1"]);
     let at = door.served(1, "c", "plain", "keyed");
-    door.tell(Event::BackendList(vec![backend("b1", BackendState::Ready, None)]));
-    assert_eq!(sends(&door.end(1, 0, &at, Outcome::Broken)), 0);
+    door.tell(Event::EndpointSnapshot(vec![endpoint("b1", EndpointState::Ready, None)]));
+    assert_eq!(sends(&door.end(1, 0, &at, Outcome::ConnectionReset)), 0);
     door.now += 25.0;
     assert_eq!(sends(&door.tell(Event::Timer { token: 1 })), 0, "another cell does not know the key");
-    assert_eq!(door.gateway.backends(), 1);
-    let did = door.tell(Event::BackendChanges(vec![backend("a2", BackendState::Ready, None)]));
+    assert_eq!(door.gateway.endpoints(), 1);
+    let did = door.tell(Event::EndpointDelta(vec![endpoint("a2", EndpointState::Ready, None)]));
     assert_eq!(sent(&did), Some((1, "a2".into())));
 }
--- a/tests/fleet_clock.rs
+++ b/policy/tests/fleet_clock.rs
@@ -2,9 +2,9 @@
 //! all start at once, and the calls do not grow with the fleet.
 
 mod helper;
-use doorcourse::fleet_clock::{CYCLE, FleetClock, LIFE};
-use doorcourse::*;
 use helper::*;
+use ryefront_policy::fleet_clock::{CYCLE, FleetClock, LIFE};
+use ryefront_policy::*;
 
 const HOUR: Millis = 3_600_000.0;
 /// Virtual time begins here; each gateway's own clock is ahead by its skew.
@@ -12,7 +12,7 @@
 
 enum Step {
     Poll(usize),
-    Answer(usize, CountOutcome),
+    Answer(usize, CounterResult),
 }
 
 struct Fleet {
@@ -71,17 +71,18 @@
         self.calls += 1;
         let reached = now + 1.0 + self.random.share();
         if self.register.1 <= reached {
-            self.register = (0.0, reached + call.keep);
+            self.register = (0.0, reached + call.ttl);
         }
         self.register.0 += call.amount;
-        let outcome = if self.answers { CountOutcome::Total(self.register.0) } else { CountOutcome::Unknown };
+        let outcome =
+            if self.answers { CounterResult::Total(self.register.0) } else { CounterResult::Unknown };
         self.agenda.at(reached + 1.0, Step::Answer(number, outcome));
     }
 
     /// By how much the fleet's times differ at most, over all gateways that know it, and how many do.
     fn spread(&self) -> (Millis, usize) {
         let known = self.clocks.iter().filter_map(|(clock, skew)| match clock.time() {
-            FleetTime::Known { offset } => Some(skew + offset),
+            FleetTime::Synchronized { offset } => Some(skew + offset),
             _ => None,
         });
         let times: Vec<_> = known.collect();
--- a/tests/helper/mod.rs
+++ b/policy/tests/helper/mod.rs
@@ -1,61 +1,61 @@
 //! Settings with room to change, and a gateway driven by scripted events.
 #![allow(dead_code)]
 
-use doorcourse::*;
+use ryefront_policy::*;
 use std::collections::BTreeMap;
 
 /// One safe, one keyed and one unsafe class; a small plan, one under a ceiling and one with an open cap.
 pub fn settings() -> Settings {
-    let class = |name: &str, effect, group| Class {
+    let class = |name: &str, effect, group| RequestClass {
         name: name.into(),
-        aim: 800.0,
-        effect,
-        group,
-        memory: 4000.0,
-        worth: 1.0,
-        late_worth: 0.0,
+        latency_objective: 800.0,
+        idempotency: effect,
+        dedup_scope: group,
+        dedup_window: 4000.0,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.0,
     };
-    let plan = |name: &str, open, ceiling: f64| Plan {
+    let plan = |name: &str, open, ceiling: f64| QuotaPlan {
         name: name.into(),
         rate: 5.0,
         burst: 10.0,
-        open,
+        max_in_flight: open,
         ceiling_rate: 5.0 * ceiling,
         ceiling_burst: 10.0 * ceiling,
         ceiling_slack: ceiling,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        weight_factor: 1.0,
+        over_quota_weight: 0.0,
+        over_quota_cost: 1.0,
     };
     Settings {
-        gateways: 2,
+        gateway_count: 2,
         zone: "z1".into(),
         tick: 4.0,
         classes: vec![
-            class("safe", Effect::Safe, Group::All),
-            class("keyed", Effect::Keyed, Group::Cell),
-            class("unsafe", Effect::Unsafe, Group::All),
+            class("safe", Idempotency::Idempotent, DedupScope::All),
+            class("keyed", Idempotency::WithKey, DedupScope::Cell),
+            class("unsafe", Idempotency::NonIdempotent, DedupScope::All),
         ],
         plans: vec![plan("plain", 0, 0.0), plan("ceiling", 0, 1.6), plan("capped", 2, 0.0)],
-        counter: true,
+        has_counter: true,
         counter_timeout: 50.0,
-        most_units: 1.0,
-        probes: true,
-        cancel: true,
-        most_attempts: 4,
-        longest_advice: 2000.0,
-        cold_share: 0.2,
-        cold_time: 18_000.0,
-        fall_multiple: 2.0,
-        fall_time: 3000.0,
+        max_units: 1.0,
+        health_checks: true,
+        cancellation: true,
+        max_attempts: 4,
+        max_retry_after: 2000.0,
+        slow_start_initial_fraction: 0.2,
+        slow_start_duration: 18_000.0,
+        overload_factor: 2.0,
+        overload_window: 3000.0,
         ..Settings::default()
     }
 }
 
-/// A list line; backends named `a…` are in cell 0, all others in cell 1.
-pub fn backend(name: &str, state: BackendState, started: Option<Millis>) -> BackendEntry {
+/// A list line; endpoints named `a…` are in cell 0, all others in cell 1.
+pub fn endpoint(name: &str, state: EndpointState, started: Option<Millis>) -> EndpointEntry {
     let cell = u64::from(!name.starts_with('a'));
-    BackendEntry { name: name.into(), zone: "z1".into(), cell, state, started }
+    EndpointEntry { name: name.into(), zone: "z1".into(), cell, state, started_at: started }
 }
 
 /// Chance from a seed.
@@ -97,21 +97,21 @@
 
 /// A gateway, its clock and what it did at the last event.
 pub struct Door {
-    pub gateway: Gateway,
+    pub gateway: PolicyEngine,
     pub now: Millis,
     pub did: Vec<Action>,
 }
 
 impl Door {
-    pub fn new(settings: Settings, backends: &[&str]) -> Self {
-        Self::seeded(settings, 1, backends)
+    pub fn new(settings: Settings, endpoints: &[&str]) -> Self {
+        Self::seeded(settings, 1, endpoints)
     }
 
-    pub fn seeded(settings: Settings, seed: u64, backends: &[&str]) -> Self {
-        let gateway = Gateway::new(settings, seed).expect("usable settings");
+    pub fn seeded(settings: Settings, seed: u64, endpoints: &[&str]) -> Self {
+        let gateway = PolicyEngine::new(settings, seed).expect("usable settings");
         let mut door = Self { gateway, now: 1000.0, did: Vec::new() };
-        let list = backends.iter().map(|name| backend(name, BackendState::Ready, None)).collect();
-        door.tell(Event::BackendList(list));
+        let list = endpoints.iter().map(|name| endpoint(name, EndpointState::Ready, None)).collect();
+        door.tell(Event::EndpointSnapshot(list));
         door
     }
 
@@ -131,54 +131,54 @@
         all
     }
 
-    pub fn ask(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Vec<Action> {
-        self.ask_of(id, customer, plan, class, false, 2)
+    pub fn ask(&mut self, id: RequestId, tenant: &str, plan: &str, class: &str) -> Vec<Action> {
+        self.ask_of(id, tenant, plan, class, false, 2)
     }
 
-    /// The same for a customer of so many gateways, as a first try or as the client's repeat.
+    /// The same for a tenant of so many gateways, as a first try or as the client's repeat.
     pub fn ask_of(
-        &mut self, id: RequestId, customer: &str, plan: &str, class: &str, repeat: bool, spread: u32,
+        &mut self, id: RequestId, tenant: &str, plan: &str, class: &str, repeat: bool, spread: u32,
     ) -> Vec<Action> {
-        self.tell(Event::Request(Arrival {
+        self.tell(Event::RequestArrived(Arrival {
             id,
-            customer: customer.into(),
+            tenant: tenant.into(),
             plan: plan.into(),
             class: class.into(),
             units: 1.0,
-            repeat,
-            patience: 2000.0,
-            first: 0,
-            spread,
+            client_retry: repeat,
+            time_to_deadline: 2000.0,
+            first_gateway: 0,
+            gateways_per_tenant: spread,
         }))
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u32, backend: &Name, outcome: Outcome) -> Vec<Action> {
-        self.end_after(100.0, id, attempt, backend, outcome)
+    pub fn end(&mut self, id: RequestId, attempt: u32, endpoint: &Name, outcome: Outcome) -> Vec<Action> {
+        self.end_after(100.0, id, attempt, endpoint, outcome)
     }
 
     pub fn end_after(
-        &mut self, latency: Millis, id: RequestId, attempt: u32, backend: &Name, outcome: Outcome,
+        &mut self, latency: Millis, id: RequestId, attempt: u32, endpoint: &Name, outcome: Outcome,
     ) -> Vec<Action> {
         self.tell(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
-            backend: backend.clone(),
+            endpoint: endpoint.clone(),
             outcome,
             latency,
-            true_units: None,
-            finished: outcome == Outcome::Served,
-            load: None,
+            actual_units: None,
+            request_finished: outcome == Outcome::Served,
+            load_report: None,
         }))
     }
 
     /// Answers a counter call with a total.
     pub fn total(&mut self, name: u64, total: f64) -> Vec<Action> {
-        self.tell(Event::Counted { name, outcome: CountOutcome::Total(total), latency: 2.0 })
+        self.tell(Event::CounterReply { key: name, result: CounterResult::Total(total), latency: 2.0 })
     }
 
     /// A request that finds the counter answering `others` + what this gateway adds; gives where it was sent.
-    pub fn served(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Name {
-        let mut did = self.ask(id, customer, plan, class);
+    pub fn served(&mut self, id: RequestId, tenant: &str, plan: &str, class: &str) -> Name {
+        let mut did = self.ask(id, tenant, plan, class);
         if let Some((name, amount)) = count(&did) {
             did = self.total(name, amount);
         }
@@ -189,7 +189,7 @@
 /// The first counter call among actions: its name and amount.
 pub fn count(actions: &[Action]) -> Option<(u64, f64)> {
     actions.iter().find_map(|a| match a {
-        Action::Count { name, amount, .. } => Some((*name, *amount)),
+        Action::IncrementCounter { key: name, amount, .. } => Some((*name, *amount)),
         _ => None,
     })
 }
@@ -197,19 +197,19 @@
 /// The first send among actions.
 pub fn sent(actions: &[Action]) -> Option<(RequestId, Name)> {
     actions.iter().find_map(|a| match a {
-        Action::Send { id, backend, .. } => Some((*id, backend.clone())),
+        Action::ForwardAttempt { id, endpoint, .. } => Some((*id, endpoint.clone())),
         _ => None,
     })
 }
 
 /// How many requests were sent on.
 pub fn sends(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Send { .. })).count()
+    actions.iter().filter(|a| matches!(a, Action::ForwardAttempt { .. })).count()
 }
 
 /// Whether a request got a refusal.
 pub fn refused(actions: &[Action], which: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id, .. } if *id == which))
+    actions.iter().any(|a| matches!(a, Action::Reject { id, .. } if *id == which))
 }
 
 /// Whether a request got a failure.
--- a/tests/lease.rs
+++ b/policy/tests/lease.rs
@@ -1,8 +1,8 @@
 //! The ordinary path: blocks, refusal, give-back, windows.
 
 mod helper;
-use doorcourse::*;
 use helper::*;
+use ryefront_policy::*;
 
 #[test]
 fn first_block_is_burst_over_gateways_and_is_spent_locally() {
@@ -25,7 +25,7 @@
     // Others hold the whole burst and more than the window has refilled by now.
     let did = door.total(name, amount + 40.0);
     let advice = did.iter().find_map(|a| match a {
-        Action::Refuse { id: 1, retry_after } => Some(*retry_after),
+        Action::Reject { id: 1, retry_after } => Some(*retry_after),
         _ => None,
     });
     assert!(advice.is_some_and(|ms| ms > 0.0), "{did:?}");
@@ -36,7 +36,7 @@
 #[test]
 fn all_gateways_derive_the_same_name_and_it_changes_with_the_window() {
     let mut other = settings();
-    other.number = 1;
+    other.gateway_index = 1;
     let mut one = Door::new(settings(), &["a1"]);
     let mut two = Door::new(other, &["a1"]);
     let first = count(&one.ask(1, "c", "plain", "safe")).expect("call").0;
@@ -61,11 +61,11 @@
 fn an_unsent_request_puts_its_units_back() {
     let mut door = Door::new(settings(), &["a1"]);
     let (name, amount) = count(&door.ask(1, "c", "plain", "safe")).expect("call");
-    door.tell(Event::BackendList(Vec::new()));
+    door.tell(Event::EndpointSnapshot(Vec::new()));
     let did = door.total(name, amount);
     assert_eq!(sends(&did), 0);
     door.pass(300.0, &[1]);
-    door.tell(Event::BackendList(vec![backend("a1", BackendState::Ready, None)]));
+    door.tell(Event::EndpointSnapshot(vec![endpoint("a1", EndpointState::Ready, None)]));
     for id in 2..=3 {
         let did = door.ask(id, "c", "plain", "safe");
         assert!(count(&did).is_none(), "the block still holds all five units");
@@ -76,18 +76,18 @@
 #[test]
 fn settled_units_are_added_later() {
     let mut set = settings();
-    (set.settles, set.most_units) = (true, 4.0);
+    (set.settles_usage, set.max_units) = (true, 4.0);
     let mut door = Door::new(set, &["a1", "a2"]);
-    let backend = door.served(1, "c", "plain", "safe");
+    let endpoint = door.served(1, "c", "plain", "safe");
     let end = AttemptEnd {
         id: 1,
         attempt: 0,
-        backend,
+        endpoint,
         outcome: Outcome::Served,
         latency: 90.0,
-        true_units: Some(4.0),
-        finished: true,
-        load: None,
+        actual_units: Some(4.0),
+        request_finished: true,
+        load_report: None,
     };
     door.tell(Event::AttemptEnded(end));
     let did = door.pass(30.0, &[]);
@@ -95,13 +95,13 @@
 }
 
 #[test]
-fn idle_customers_are_forgotten() {
+fn idle_tenants_are_forgotten() {
     let mut door = Door::new(settings(), &["a1", "a2"]);
     let at = door.served(1, "c", "plain", "safe");
     door.end(1, 0, &at, Outcome::Served);
     door.pass(60_000.0, &[]);
     let did = door.ask(2, "c", "plain", "safe");
-    assert_eq!(count(&did).expect("call").1, 5.0, "a forgotten customer starts with a first block again");
+    assert_eq!(count(&did).expect("call").1, 5.0, "a forgotten tenant starts with a first block again");
 }
 
 #[test]
@@ -116,7 +116,7 @@
     let mut door = Door::new(settings(), &["a1", "a2"]);
     let (name, amount) = count(&door.ask(1, "c", "plain", "safe")).expect("call");
     door.total(name, amount);
-    door.tell(Event::Ending);
+    door.tell(Event::DrainStarted);
     door.now += 25.0;
     let did = door.tell(Event::Timer { token: 1 });
     assert_eq!(count(&did), Some((name, 1.0 - amount)), "all but what was spent");
--- a/tests/many.rs
+++ b/policy/tests/many.rs
@@ -1,23 +1,24 @@
 //! Hundreds of gateways, fed by hand: what they permit together is added up.
 
 mod helper;
-use doorcourse::*;
 use helper::*;
+use ryefront_policy::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const GATEWAYS: u32 = 500;
 
-/// All gateways of a fleet with these backends; the last one starts cold now where `cold` is set.
-fn fleet(gateways: u32, backends: &[String], cold: bool, peers: bool) -> Vec<Door> {
-    let names: Vec<&str> = backends.iter().map(String::as_str).collect();
+/// All gateways of a fleet with these endpoints; the last one starts cold now where `cold` is set.
+fn fleet(gateways: u32, endpoints: &[String], cold: bool, peers: bool) -> Vec<Door> {
+    let names: Vec<&str> = endpoints.iter().map(String::as_str).collect();
     (0..gateways)
         .map(|number| {
-            let settings = Settings { gateways, number, peers, ..settings() };
+            let settings =
+                Settings { gateway_count: gateways, gateway_index: number, gossip: peers, ..settings() };
             let mut door = Door::seeded(settings, 1000 + u64::from(number), &names);
             if cold {
                 let born = Some(door.now);
-                let last = backends.last().expect("a backend");
-                door.tell(Event::BackendChanges(vec![backend(last, BackendState::Ready, born)]));
+                let last = endpoints.last().expect("an endpoint");
+                door.tell(Event::EndpointDelta(vec![endpoint(last, EndpointState::Ready, born)]));
             }
             door
         })
@@ -28,13 +29,13 @@
     (0..count).map(|n| format!("a{n}")).collect()
 }
 
-/// A request of a customer spread over all gateways.
-fn spread(door: &mut Door, id: RequestId, customer: &str, repeat: bool) -> Vec<Action> {
-    door.ask_of(id, customer, "plain", "safe", repeat, GATEWAYS)
+/// A request of a tenant spread over all gateways.
+fn spread(door: &mut Door, id: RequestId, tenant: &str, repeat: bool) -> Vec<Action> {
+    door.ask_of(id, tenant, "plain", "safe", repeat, GATEWAYS)
 }
 
 #[test]
-fn a_thin_customer_s_quota_holds_over_all_gateways() {
+fn a_thin_tenant_s_quota_holds_over_all_gateways() {
     // Burst 10, rate 5, asked 66 times as much: a burst at once, then the share that fits, which reads the
     // demand as it grows. Three bursts are the bound of that; the quota itself grants 17 of 500.
     let mut doors = fleet(GATEWAYS, &names(20), false, false);
@@ -54,30 +55,30 @@
 }
 
 #[test]
-fn each_of_many_gateways_keeps_to_few_backends_and_all_are_used_alike() {
+fn each_of_many_gateways_keeps_to_few_endpoints_and_all_are_used_alike() {
     let mut doors = fleet(GATEWAYS, &names(50), false, false);
-    let (mut per_backend, mut most) = (BTreeMap::<Name, u32>::new(), 0);
+    let (mut per_endpoint, mut most) = (BTreeMap::<Name, u32>::new(), 0);
     for door in &mut doors {
         let mut own = BTreeSet::new();
         for id in 1..=20 {
             let at = door.served(id, &format!("c{id}"), "plain", "unsafe");
             door.end(id, 0, &at, Outcome::Served);
-            *per_backend.entry(at.clone()).or_default() += 1;
+            *per_endpoint.entry(at.clone()).or_default() += 1;
             own.insert(at);
         }
         most = most.max(own.len());
     }
-    assert!(most <= 15, "a gateway used {most} backends");
-    let busiest = per_backend.values().max().copied().unwrap_or_default();
-    assert_eq!(per_backend.len(), 50);
+    assert!(most <= 15, "a gateway used {most} endpoints");
+    let busiest = per_endpoint.values().max().copied().unwrap_or_default();
+    assert_eq!(per_endpoint.len(), 50);
     assert!(f64::from(busiest) < 1.6 * f64::from(GATEWAYS * 20 / 50), "{busiest}");
 }
 
 #[test]
-fn two_or_five_hundred_gateways_send_a_cold_backend_its_share_from_the_first_ms() {
+fn two_or_five_hundred_gateways_send_a_cold_endpoint_its_share_from_the_first_ms() {
     for gateways in [2, GATEWAYS] {
-        let backends = names(10);
-        let mut doors = fleet(gateways, &backends, true, false);
+        let endpoints = names(10);
+        let mut doors = fleet(gateways, &endpoints, true, false);
         let (mut to_cold, rounds) = (0, 5000 / gateways as u64);
         for id in 1..=rounds {
             for door in &mut doors {
@@ -92,11 +93,11 @@
 }
 
 #[test]
-fn a_backend_that_is_nearly_warm_gets_nearly_an_even_part_also_while_answers_are_late() {
+fn an_endpoint_that_is_nearly_warm_gets_nearly_an_even_part_also_while_answers_are_late() {
     let mut doors = fleet(GATEWAYS, &names(10), true, false);
     let (mut to_cold, mut all, mut id) = (0, 0, 0);
     for door in &mut doors {
-        door.now += 0.9 * settings().cold_time;
+        door.now += 0.9 * settings().slow_start_duration;
         for round in 0..20 {
             id += 1;
             let did = spread(door, id, &format!("c{id}"), false);
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn with_no_warm_backend_left_cold_ones_get_their_share() {
+fn with_no_warm_endpoint_left_cold_ones_get_their_share() {
     let mut doors = fleet(GATEWAYS, &names(1), true, false);
     let mut gone_on = 0;
     for door in &mut doors {
@@ -129,28 +130,28 @@
 }
 
 #[test]
-fn gateways_that_may_talk_tell_of_a_customer_beyond_its_quota_and_heed_it() {
+fn gateways_that_may_talk_tell_of_a_tenant_beyond_its_quota_and_heed_it() {
     let mut doors = fleet(GATEWAYS, &names(5), false, true);
     let (name, amount) = count(&spread(&mut doors[0], 1, "c", false)).expect("a call");
     let did = doors[0].total(name, 1000.0 + amount);
     let told =
-        did.iter().find_map(|a| if let Action::Tell { bytes } = a { Some(bytes.clone()) } else { None });
+        did.iter().find_map(|a| if let Action::Gossip { bytes } = a { Some(bytes.clone()) } else { None });
     assert!(refused(&did, 1));
-    doors[1].tell(Event::PeerMessage { from: 0, bytes: told.expect("a word to the others") });
+    doors[1].tell(Event::GossipReceived { from: 0, bytes: told.expect("a word to the others") });
     for junk in [vec![], vec![1; 7], vec![255; 300]] {
-        doors[1].tell(Event::PeerMessage { from: 0, bytes: junk });
+        doors[1].tell(Event::GossipReceived { from: 0, bytes: junk });
     }
     // The counter turns all calls away: what is left is what the other gateway said.
     let mut gone_on = 0;
     for id in 1..=40 {
         let mut did = spread(&mut doors[1], id, "c", false);
         if let Some((name, _)) = count(&did) {
-            let (outcome, latency) = (CountOutcome::NotAdded, 1.0);
-            did.extend(doors[1].tell(Event::Counted { name, outcome, latency }));
+            let (outcome, latency) = (CounterResult::NotAdded, 1.0);
+            did.extend(doors[1].tell(Event::CounterReply { key: name, result: outcome, latency }));
         }
         gone_on += sends(&did);
     }
-    assert!(gone_on <= 4, "{gone_on} of 40 went on for a customer a hundred times beyond its quota");
+    assert!(gone_on <= 4, "{gone_on} of 40 went on for a tenant a hundred times beyond its quota");
 }
 
 #[test]
@@ -185,9 +186,9 @@
             if let Some((name, amount)) = count(&did) {
                 did.extend(door.total(name, amount));
             }
-            for (id, backend) in did.iter().filter_map(|a| sent(std::slice::from_ref(a))) {
+            for (id, endpoint) in did.iter().filter_map(|a| sent(std::slice::from_ref(a))) {
                 gone_on += 1;
-                door.end_after(latency, id, 0, &backend, Outcome::Served);
+                door.end_after(latency, id, 0, &endpoint, Outcome::Served);
             }
         }
         gone_on
@@ -201,10 +202,10 @@
 
 #[test]
 fn gateways_whose_seeds_differ_in_the_last_bit_choose_apart() {
-    let backends = names(10);
-    let backends: Vec<&str> = backends.iter().map(String::as_str).collect();
+    let endpoints = names(10);
+    let endpoints: Vec<&str> = endpoints.iter().map(String::as_str).collect();
     let chosen = |seed| {
-        let mut door = Door::seeded(Settings { gateways: GATEWAYS, ..settings() }, seed, &backends);
+        let mut door = Door::seeded(Settings { gateway_count: GATEWAYS, ..settings() }, seed, &endpoints);
         let mut choose = |id| {
             let at = door.served(id, &format!("c{id}"), "plain", "unsafe");
             door.end(id, 0, &at, Outcome::Served);
--- a/tests/ramp.rs
+++ b/policy/tests/ramp.rs
@@ -3,8 +3,8 @@
 //! fall multiple x its capacity at that moment x the window. `--nocapture` prints the worst ratio of each case.
 
 mod helper;
-use doorcourse::*;
 use helper::*;
+use ryefront_policy::*;
 use std::collections::BTreeMap;
 
 /// Requests of mean work a second that one warm server can do.
@@ -73,7 +73,7 @@
     case: Case,
     settings: Settings,
     random: Random,
-    gateways: Vec<Gateway>,
+    gateways: Vec<PolicyEngine>,
     agenda: Agenda<Step>,
     now: Millis,
     totals: BTreeMap<u64, f64>,
@@ -91,14 +91,14 @@
 impl Fleet {
     fn new(case: Case) -> Self {
         let mut set = settings();
-        (set.gateways, set.cold_time, set.fall_time, set.fall_multiple) =
+        (set.gateway_count, set.slow_start_duration, set.overload_window, set.overload_factor) =
             (case.gateways, COLD_TIME, 1000.0, 2.0);
         (set.plans[0].rate, set.plans[0].burst) = (500.0, 1000.0);
         let mut seeds = Random(u64::from(case.gateways));
         let gateways = (0..case.gateways)
             .map(|number| {
-                let set = Settings { number, ..set.clone() };
-                Gateway::new(set, seeds.below(u64::MAX)).expect("usable settings")
+                let set = Settings { gateway_index: number, ..set.clone() };
+                PolicyEngine::new(set, seeds.below(u64::MAX)).expect("usable settings")
             })
             .collect::<Vec<_>>();
         let (names, warm) = names(case);
@@ -126,8 +126,8 @@
         let (names, warm) = names(case);
         let before = if case.back { &names[..] } else { &names[..warm] };
         for gateway in 0..self.gateways.len() {
-            let list = before.iter().map(|name| backend(name, BackendState::Ready, None)).collect();
-            self.agenda.at(0.0, Step::Tell(gateway, Event::BackendList(list)));
+            let list = before.iter().map(|name| endpoint(name, EndpointState::Ready, None)).collect();
+            self.agenda.at(0.0, Step::Tell(gateway, Event::EndpointSnapshot(list)));
             let late = self.random.share() * case.heard;
             self.agenda.at(START + late, Step::Started(gateway));
         }
@@ -152,16 +152,16 @@
             let gateway = gateway.unwrap_or(0);
             let arrival = Arrival {
                 id,
-                customer: format!("c{gateway}").as_str().into(),
+                tenant: format!("c{gateway}").as_str().into(),
                 plan: "plain".into(),
                 class: "safe".into(),
                 units: 1.0,
-                repeat: false,
-                patience: 3000.0,
-                first: gateway as u32,
-                spread: 1,
+                client_retry: false,
+                time_to_deadline: 3000.0,
+                first_gateway: gateway as u32,
+                gateways_per_tenant: 1,
             };
-            self.agenda.at(when, Step::Tell(gateway, Event::Request(arrival)));
+            self.agenda.at(when, Step::Tell(gateway, Event::RequestArrived(arrival)));
         }
     }
 
@@ -181,8 +181,8 @@
                 }
                 Step::Started(gateway) => {
                     self.told[gateway] = true;
-                    let cold = self.sent.keys().map(|name| backend(name, BackendState::Ready, Some(START)));
-                    let changes = Event::BackendChanges(cold.collect());
+                    let cold = self.sent.keys().map(|name| endpoint(name, EndpointState::Ready, Some(START)));
+                    let changes = Event::EndpointDelta(cold.collect());
                     self.tell(gateway, changes);
                 }
             }
@@ -191,8 +191,8 @@
 
     fn tell(&mut self, gateway: usize, event: Event) {
         self.held[gateway] += match &event {
-            Event::Request(_) => 1,
-            Event::AttemptEnded(end) => usize::from(!end.finished),
+            Event::RequestArrived(_) => 1,
+            Event::AttemptEnded(end) => usize::from(!end.request_finished),
             _ => 0,
         };
         let mut actions = Vec::new();
@@ -207,43 +207,51 @@
             Action::SetTimer { after, token } => {
                 self.agenda.at(self.now + after, Step::Tell(gateway, Event::Timer { token }));
             }
-            Action::Count { name, amount, .. } => {
+            Action::IncrementCounter { key: name, amount, .. } => {
                 let (outcome, latency) = if self.case.counter {
                     let total = self.totals.entry(name).or_default();
                     *total += amount;
-                    (CountOutcome::Total(*total), 2.0)
+                    (CounterResult::Total(*total), 2.0)
                 } else {
-                    (CountOutcome::Unknown, 50.0)
+                    (CounterResult::Unknown, 50.0)
                 };
-                let counted = Event::Counted { name, outcome, latency };
+                let counted = Event::CounterReply { key: name, result: outcome, latency };
                 self.agenda.at(self.now + latency, Step::Tell(gateway, counted));
             }
-            Action::Send { id, backend, .. } => {
+            Action::ForwardAttempt { id, endpoint, .. } => {
                 self.held[gateway] -= 1;
-                self.send(gateway, id, backend);
+                self.send(gateway, id, endpoint);
             }
-            Action::Refuse { .. } | Action::Fail { .. } => self.held[gateway] -= 1,
+            Action::Reject { .. } | Action::Fail { .. } => self.held[gateway] -= 1,
             _ => {}
         }
     }
 
-    fn send(&mut self, gateway: usize, id: RequestId, backend: Name) {
+    fn send(&mut self, gateway: usize, id: RequestId, endpoint: Name) {
         self.all += 1;
-        if let Some(sent) = self.sent.get_mut(&backend).filter(|_| self.now >= START) {
+        if let Some(sent) = self.sent.get_mut(&endpoint).filter(|_| self.now >= START) {
             sent.push((self.now, self.told[gateway]));
         }
         let attempt = *self.attempts.entry(id).and_modify(|n| *n += 1).or_insert(0);
         let (bad, share) = self.case.fails;
-        let spared = share == 1.0 && (self.now < START || self.sent.contains_key(&backend));
+        let spared = share == 1.0 && (self.now < START || self.sent.contains_key(&endpoint));
         let outcome = if !spared && self.random.share() < share { bad } else { Outcome::Served };
         let latency = match outcome {
-            Outcome::Full => 2.0,
+            Outcome::Rejected => 2.0,
             Outcome::TimedOut => 2000.0,
             _ => LATENCY,
         };
         let finished = outcome == Outcome::Served;
-        let end =
-            AttemptEnd { id, attempt, backend, outcome, latency, true_units: None, finished, load: None };
+        let end = AttemptEnd {
+            id,
+            attempt,
+            endpoint,
+            outcome,
+            latency,
+            actual_units: None,
+            request_finished: finished,
+            load_report: None,
+        };
         self.agenda.at(self.now + latency, Step::Tell(gateway, Event::AttemptEnded(end)));
     }
 
@@ -254,10 +262,11 @@
         let mut worst: f64 = 0.0;
         for sends in self.sent.values() {
             for (first, (from, _)) in sends.iter().enumerate() {
-                let age = (from - START) / set.cold_time;
-                let share = set.cold_share + (1.0 - set.cold_share) * age.min(1.0);
-                let n = set.fall_multiple * share * CAPACITY * set.fall_time / 1000.0;
-                let window = sends[first..].iter().take_while(|(at, _)| at - from < set.fall_time);
+                let age = (from - START) / set.slow_start_duration;
+                let share =
+                    set.slow_start_initial_fraction + (1.0 - set.slow_start_initial_fraction) * age.min(1.0);
+                let n = set.overload_factor * share * CAPACITY * set.overload_window / 1000.0;
+                let window = sends[first..].iter().take_while(|(at, _)| at - from < set.overload_window);
                 let (sum, told) = window.fold((0.0, 0.0), |(sum, told), (_, knew)| {
                     (sum + 1.0, told + f64::from(u8::from(*knew)))
                 });
@@ -319,7 +328,12 @@
 
 #[test]
 fn further_attempts_count_as_first_ones_do() {
-    let fails = [(Outcome::Error, 0.3), (Outcome::Broken, 0.3), (Outcome::Full, 0.1), (Outcome::Full, 0.3)];
+    let fails = [
+        (Outcome::Error, 0.3),
+        (Outcome::ConnectionReset, 0.3),
+        (Outcome::Rejected, 0.1),
+        (Outcome::Rejected, 0.3),
+    ];
     hold(&fails.map(|fails| Case { fails, ..CASE }));
 }
 
--- a/tests/subset.rs
+++ b/policy/tests/subset.rs
@@ -1,26 +1,26 @@
 //! Deterministic subsetting, over all gateways of a fleet.
 
 mod helper;
-use doorcourse::*;
 use helper::*;
+use ryefront_policy::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn entry(name: &str, zone: usize, state: BackendState) -> BackendEntry {
-    BackendEntry { name: name.into(), zone: format!("z{zone}").into(), cell: 0, state, started: None }
+fn entry(name: &str, zone: usize, state: EndpointState) -> EndpointEntry {
+    EndpointEntry { name: name.into(), zone: format!("z{zone}").into(), cell: 0, state, started_at: None }
 }
 
 fn zone_of(name: &str, zones: usize) -> usize {
     name[1..].parse::<usize>().expect("a number") % zones
 }
 
-/// All gateways of a fleet that know backends `b0` to `b(count - 1)`, dealt out over the zones.
+/// All gateways of a fleet that know endpoints `b0` to `b(count - 1)`, dealt out over the zones.
 fn fleet(gateways: u32, count: usize, zones: usize) -> Vec<Door> {
-    let list: Vec<_> = (0..count).map(|n| entry(&format!("b{n}"), n % zones, BackendState::Ready)).collect();
+    let list: Vec<_> = (0..count).map(|n| entry(&format!("b{n}"), n % zones, EndpointState::Ready)).collect();
     (0..gateways)
         .map(|number| {
-            let settings = Settings { gateways, number, ..settings() };
+            let settings = Settings { gateway_count: gateways, gateway_index: number, ..settings() };
             let mut door = Door::seeded(settings, 1000 + u64::from(number), &[]);
-            door.tell(Event::BackendList(list.clone()));
+            door.tell(Event::EndpointSnapshot(list.clone()));
             door
         })
         .collect()
@@ -30,7 +30,7 @@
     doors.iter().map(|door| door.gateway.subset().cloned().collect()).collect()
 }
 
-/// How many gateways have each backend in their subsets.
+/// How many gateways have each endpoint in their subsets.
 fn shares(subsets: &[BTreeSet<Name>]) -> BTreeMap<Name, u32> {
     let mut shares = BTreeMap::new();
     subsets.iter().flatten().for_each(|name| *shares.entry(name.clone()).or_default() += 1);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn every_backend_is_in_as_many_subsets_as_any_other_and_subsets_are_small_and_alike() {
+fn every_endpoint_is_in_as_many_subsets_as_any_other_and_subsets_are_small_and_alike() {
     for (gateways, count, zones) in [
         (18, 10, 2),
         (30, 20, 2),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn few_gateways_work_with_all_backends() {
+fn few_gateways_work_with_all_endpoints() {
     for door in fleet(17, 40, 2) {
         assert_eq!(door.gateway.subset().count(), 40);
     }
@@ -84,43 +84,44 @@
 }
 
 #[test]
-fn a_lost_or_replaced_backend_changes_few_entries_of_few_subsets() {
+fn a_lost_or_replaced_endpoint_changes_few_entries_of_few_subsets() {
     let mut doors = fleet(300, 200, 3);
     let (mut changed, changes) = (0, 20);
     for n in 0..changes {
         let before = subsets(&doors);
         let (old, new) = (format!("b{n}"), format!("b{}", 200 + n));
-        let list = vec![entry(&old, n % 3, BackendState::Gone), entry(&new, n % 3, BackendState::Ready)];
-        doors.iter_mut().for_each(|door| drop(door.tell(Event::BackendChanges(list.clone()))));
+        let list = vec![entry(&old, n % 3, EndpointState::Removed), entry(&new, n % 3, EndpointState::Ready)];
+        doors.iter_mut().for_each(|door| drop(door.tell(Event::EndpointDelta(list.clone()))));
         let entries = |(before, after): (&BTreeSet<Name>, &BTreeSet<Name>)| after.difference(before).count();
         changed += before.iter().zip(&subsets(&doors)).map(entries).sum::<usize>();
     }
-    // The new backend alone is an entry of 8 subsets. A fifth of an entry of each of 300 is the bound.
+    // The new endpoint alone is an entry of 8 subsets. A fifth of an entry of each of 300 is the bound.
     assert!((8 * changes..=60 * changes).contains(&changed), "{changed} entries for {changes} changes");
     // The subset comes from the list alone, however it came to be.
     let list: Vec<_> = (changes..200 + changes)
         .rev()
-        .map(|n| entry(&format!("b{n}"), if n < 200 { n % 3 } else { (n - 200) % 3 }, BackendState::Ready))
+        .map(|n| entry(&format!("b{n}"), if n < 200 { n % 3 } else { (n - 200) % 3 }, EndpointState::Ready))
         .collect();
     let before = subsets(&doors);
     for (number, before) in (0..).zip(before) {
-        let mut fresh = Door::seeded(Settings { gateways: 300, number, ..settings() }, 7, &[]);
-        fresh.tell(Event::BackendList(list.clone()));
+        let mut fresh =
+            Door::seeded(Settings { gateway_count: 300, gateway_index: number, ..settings() }, 7, &[]);
+        fresh.tell(Event::EndpointSnapshot(list.clone()));
         assert_eq!(fresh.gateway.subset().cloned().collect::<BTreeSet<_>>(), before);
     }
 }
 
-/// Sends one request of a customer of its own; tells where it went.
+/// Sends one request of a tenant of its own; tells where it went.
 fn attempt(door: &mut Door, id: RequestId) -> Option<Name> {
     let mut did = door.ask_of(id, &format!("c{id}"), "plain", "unsafe", false, 300);
     if let Some((name, _)) = count(&did) {
         did.extend(door.total(name, 1.0));
     }
-    sent(&did).map(|(_, backend)| backend)
+    sent(&did).map(|(_, endpoint)| endpoint)
 }
 
 #[test]
-fn a_gateway_whose_own_backends_fail_drain_or_are_cold_is_served_by_others() {
+fn a_gateway_whose_own_endpoints_fail_drain_or_are_cold_is_served_by_others() {
     let own = |door: &Door| door.gateway.subset().cloned().collect::<BTreeSet<_>>();
     // They take no connection: after one try each they are left alone, and others are tried.
     let mut door = fleet(300, 200, 3).swap_remove(7);
@@ -136,8 +137,8 @@
     }
     // They drain: the subset is another one at once.
     let mut door = fleet(300, 200, 3).swap_remove(7);
-    let drained: Vec<_> = mine.iter().map(|n| entry(n, zone_of(n, 3), BackendState::Draining)).collect();
-    door.tell(Event::BackendChanges(drained));
+    let drained: Vec<_> = mine.iter().map(|n| entry(n, zone_of(n, 3), EndpointState::Draining)).collect();
+    door.tell(Event::EndpointDelta(drained));
     assert!(!own(&door).is_empty() && own(&door).is_disjoint(&mine));
     assert!((1..=20).all(|id| attempt(&mut door, id).is_none_or(|at| {
         door.end(id, 0, &at, Outcome::Served);
@@ -146,9 +147,10 @@
     // They start again, cold: they get their share, the warm ones that stand by the rest.
     let mut door = fleet(300, 200, 3).swap_remove(7);
     let born = Some(door.now);
-    let cold =
-        mine.iter().map(|n| BackendEntry { started: born, ..entry(n, zone_of(n, 3), BackendState::Ready) });
-    door.tell(Event::BackendChanges(cold.collect()));
+    let cold = mine
+        .iter()
+        .map(|n| EndpointEntry { started_at: born, ..entry(n, zone_of(n, 3), EndpointState::Ready) });
+    door.tell(Event::EndpointDelta(cold.collect()));
     let mut to_cold = 0;
     for id in 1..=400 {
         let at = attempt(&mut door, id).expect("an attempt");
@@ -161,25 +163,25 @@
 
 #[test]
 fn a_keyed_repeat_finds_its_cell_or_zone_outside_the_subset() {
-    for group in [Group::Cell, Group::Zone] {
-        let mut changed = Settings { gateways: 300, ..settings() };
-        changed.classes[1].group = group;
+    for group in [DedupScope::Cell, DedupScope::Zone] {
+        let mut changed = Settings { gateway_count: 300, ..settings() };
+        changed.classes[1].dedup_scope = group;
         let mut door = Door::seeded(changed, 5, &[]);
-        // Each backend's neighbours are its cell; only two of a zone of their own are left after the first attempt.
+        // Each endpoint's neighbours are its cell; only two of a zone of their own are left after the first attempt.
         let list = |range: std::ops::Range<usize>| {
-            let entry = |n: usize| BackendEntry {
+            let entry = |n: usize| EndpointEntry {
                 cell: n as u64 / 4,
-                ..entry(&format!("b{n}"), n / 4, BackendState::Ready)
+                ..entry(&format!("b{n}"), n / 4, EndpointState::Ready)
             };
             range.map(entry).collect::<Vec<_>>()
         };
-        door.tell(Event::BackendList(list(0..200)));
+        door.tell(Event::EndpointSnapshot(list(0..200)));
         let mut did = door.ask_of(1, "c", "plain", "keyed", false, 300);
         if let Some((name, _)) = count(&did) {
             did.extend(door.total(name, 1.0));
         }
         let (_, at) = sent(&did).expect("an attempt");
-        let again = sent(&door.end(1, 0, &at, Outcome::Broken)).expect("a further attempt").1;
+        let again = sent(&door.end(1, 0, &at, Outcome::ConnectionReset)).expect("a further attempt").1;
         let cell = |name: &Name| name[1..].parse::<usize>().expect("a number") / 4;
         assert_eq!(cell(&at), cell(&again), "{group:?}");
     }
--- a/tests/unit/demand.rs
+++ b/policy/tests/unit/demand.rs
@@ -1,10 +1,10 @@
-//! What a fading count tells of a customer. Part of `src/demand.rs`, whose functions are private.
+//! What a fading count tells of a tenant. Part of `src/demand.rs`, whose functions are private.
 
 use super::*;
 
 const TURN: Millis = 4000.0;
 
-/// What a count tells of a customer that asks `rate` units a second for `turns`, in steps of 10 ms.
+/// What a count tells of a tenant that asks `rate` units a second for `turns`, in steps of 10 ms.
 fn told(rate: f64, turns: f64) -> f64 {
     let end = turns * TURN;
     let steps = (end / 10.0) as u32;
--- /dev/null
+++ b/settings/src/lib.rs
@@ -0,0 +1,15 @@
+//! Reads the settings object and load reports of a deployment into the types of [`ryefront_policy`].
+//!
+//! The simulator sends the settings object with its first message, a real gateway finds it in its configuration
+//! file; both read it with [`read`]. The deployment's own key names appear in this crate alone.
+
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+mod load_report;
+mod object;
+mod settings;
+
+pub use load_report::set_load_value;
+pub use object::{Object, ReadError};
+pub use settings::{parse, read};
--- a/simhost/src/lib.rs
+++ b/sim-adapter/src/lib.rs
@@ -1,15 +1,13 @@
-//! Hosts doorcourse gateways on the simulator's wire: translation only, no decisions.
+//! Hosts ryefront_policy gateways on the simulator's wire: translation only, no decisions.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod settings;
-
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
-use doorcourse::{
-    Action, Arrival, AttemptEnd, BackendEntry, BackendState, CountOutcome, Event, Gateway, LoadReport,
-    Millis, Name, Outcome,
+use ryefront_policy::{
+    Action, Arrival, AttemptEnd, CounterResult, EndpointEntry, EndpointState, Event, LoadReport, Millis,
+    Name, Outcome, PolicyEngine,
 };
 use std::collections::BTreeMap;
 use std::fmt::{self, Write as _};
@@ -91,12 +89,12 @@
     Ok(match text {
         "delivered" => Outcome::Served,
         "app_error" => Outcome::Error,
-        "shed" => Outcome::Full,
+        "shed" => Outcome::Rejected,
         "expired" => Outcome::TimedOut,
         "dial_failed" => Outcome::ConnectFailed,
-        "dropped" => Outcome::Broken,
-        "revoked" => Outcome::CalledOff,
-        "unused" => Outcome::NeverSent,
+        "dropped" => Outcome::ConnectionReset,
+        "revoked" => Outcome::Cancelled,
+        "unused" => Outcome::NotSent,
         other => return Err(format!("unknown outcome {other}")),
     })
 }
@@ -110,46 +108,36 @@
         let (key, value) =
             pair.split_once(':').ok_or_else(|| format!("load value without a colon: {pair}"))?;
         let value: f64 = value.parse().map_err(|_| format!("load value is not a number: {pair}"))?;
-        set_load(&mut report, key, value);
+        ryefront_settings::set_load_value(&mut report, key, value);
     }
     Ok(Some(report))
 }
 
-/// Puts one named value into a load report; values that the library has no use for are skipped.
-pub fn set_load(report: &mut LoadReport, key: &str, value: f64) {
-    match key {
-        "outstanding" => report.inflight = Some(value),
-        "backlog" => report.queue = Some(value),
-        "recent_ms" => report.service = Some(value),
-        _ => {}
-    }
-}
-
-fn entry(line: &str) -> Result<BackendEntry, String> {
+fn entry(line: &str) -> Result<EndpointEntry, String> {
     let mut fields = Fields(line.split('\t'));
     if fields.text("message")? != "ENTRY" {
         return Err(format!("expected an ENTRY line: {line}"));
     }
-    let name = fields.name("backend")?;
+    let name = fields.name("endpoint")?;
     let zone = Name::from(fields.text("az")?);
     fields.text("family-type")?;
     let cell = fields.number("block")?;
     let state = match fields.text("readiness")? {
-        "IN" => BackendState::Ready,
-        "LAME" => BackendState::Draining,
-        "OUT" => BackendState::Gone,
+        "IN" => EndpointState::Ready,
+        "LAME" => EndpointState::Draining,
+        "OUT" => EndpointState::Removed,
         other => return Err(format!("unknown readiness {other}")),
     };
     fields.optional::<f64>("rating")?;
     let started = fields.optional::<f64>("born-ms")?.filter(|at| *at > 0.0);
-    Ok(BackendEntry { name, zone, cell, state, started })
+    Ok(EndpointEntry { name, zone, cell, state, started_at: started })
 }
 
 /// All gateways that one process hosts.
 #[derive(Default)]
 pub struct Host {
-    gateways: BTreeMap<u64, Gateway>,
-    lists: BTreeMap<u64, Vec<BackendEntry>>,
+    gateways: BTreeMap<u64, PolicyEngine>,
+    lists: BTreeMap<u64, Vec<EndpointEntry>>,
     /// Entries of the list now being read: its number and how many are still to come.
     reading: Option<(u64, usize)>,
     now: Option<Millis>,
@@ -212,8 +200,8 @@
             "START" => {
                 let instance = fields.number("i")?;
                 let seed = fields.number("init-seed")?;
-                let settings = settings::parse(&fields.rest())?;
-                let gateway = Gateway::new(settings, seed).map_err(|e| e.to_string())?;
+                let settings = ryefront_settings::parse(&fields.rest()).map_err(|e| e.to_string())?;
+                let gateway = PolicyEngine::new(settings, seed).map_err(|e| e.to_string())?;
                 self.gateways.insert(instance, gateway);
             }
             "EXIT" => {
@@ -243,18 +231,18 @@
                 fields.text("gen")?;
                 let list = fields.optional::<u64>("roster-id")?;
                 if kind == "refused" {
-                    return Ok(Event::BackendListFailed);
+                    return Ok(Event::EndpointListFailed);
                 }
-                let list = list.and_then(|n| self.lists.get(&n)).ok_or("no such list of backends")?.clone();
+                let list = list.and_then(|n| self.lists.get(&n)).ok_or("no such list of endpoints")?.clone();
                 match kind {
-                    "changes" => Event::BackendChanges(list),
-                    "all" | "remembered" => Event::BackendList(list),
+                    "changes" => Event::EndpointDelta(list),
+                    "all" | "remembered" => Event::EndpointSnapshot(list),
                     other => return Err(format!("unknown kind of list {other}")),
                 }
             }
             "ORDER" => {
                 let id = fields.number("id")?;
-                let customer = fields.name("account")?;
+                let tenant = fields.name("account")?;
                 fields.flag("write")?;
                 let patience = fields.millis("patience-left-ms")?;
                 let class = fields.name("band")?;
@@ -263,13 +251,23 @@
                 let spread = fields.optional("spread")?.unwrap_or(0);
                 let units = fields.optional("units")?.unwrap_or(1.0);
                 let plan = fields.name("package")?;
-                Event::Request(Arrival { id, customer, plan, class, units, repeat, patience, first, spread })
+                Event::RequestArrived(Arrival {
+                    id,
+                    tenant,
+                    plan,
+                    class,
+                    units,
+                    client_retry: repeat,
+                    time_to_deadline: patience,
+                    first_gateway: first,
+                    gateways_per_tenant: spread,
+                })
             }
             "UNDER_WAY" => Event::StreamStarted { id: fields.number("id")? },
             "ATTEMPT_END" => {
                 let id = fields.number("id")?;
                 let latency = fields.millis("latency-ms")?;
-                let backend = fields.name("backend")?;
+                let endpoint = fields.name("endpoint")?;
                 let outcome = outcome(fields.text("rc")?)?;
                 fields.optional::<f64>("seen-use")?;
                 let attempt = fields.number("go")?;
@@ -279,27 +277,27 @@
                 Event::AttemptEnded(AttemptEnd {
                     id,
                     attempt,
-                    backend,
+                    endpoint,
                     outcome,
                     latency,
-                    true_units,
-                    finished,
-                    load,
+                    actual_units: true_units,
+                    request_finished: finished,
+                    load_report: load,
                 })
             }
-            "GONE" => Event::ClientLeft { id: fields.number("id")? },
+            "GONE" => Event::ClientDisconnected { id: fields.number("id")? },
             "DUE" => Event::Timer { token: fields.number("tag")? },
             "SAMPLED" => {
                 let latency = fields.millis("latency-ms")?;
-                let backend = fields.name("backend")?;
+                let endpoint = fields.name("endpoint")?;
                 let outcome = outcome(fields.text("rc")?)?;
                 let load = load(fields.text("metrics")?)?;
-                Event::ProbeEnded { backend, outcome, latency, load }
+                Event::HealthCheckEnded { endpoint, outcome, latency, load_report: load }
             }
             "INBOX" => {
                 let from = fields.number("neighbour")?;
                 let bytes = from_base64(fields.text("msg")?)?;
-                Event::PeerMessage { from, bytes }
+                Event::GossipReceived { from, bytes }
             }
             "TOTAL" => {
                 let code = fields.text("rc")?;
@@ -307,13 +305,13 @@
                 let latency = fields.millis("latency-ms")?;
                 let total = fields.optional::<f64>("result-value")?;
                 let outcome = match (code, total) {
-                    ("delivered", Some(total)) => CountOutcome::Total(total),
+                    ("delivered", Some(total)) => CounterResult::Total(total),
                     ("delivered", None) => return Err("result-value is missing".into()),
-                    ("shed" | "dial_failed", _) => CountOutcome::NotAdded,
-                    ("expired", _) => CountOutcome::Unknown,
+                    ("shed" | "dial_failed", _) => CounterResult::NotAdded,
+                    ("expired", _) => CounterResult::Unknown,
                     (other, _) => return Err(format!("unknown outcome {other}")),
                 };
-                Event::Counted { name, outcome, latency }
+                Event::CounterReply { key: name, result: outcome, latency }
             }
             other => return Err(format!("unknown message {other}")),
         })
@@ -323,19 +321,19 @@
 fn write_action(reply: &mut String, i: u64, action: &Action) -> fmt::Result {
     match action {
         // On this wire a send is whole at once.
-        Action::Send { id, backend, timeout, written_by: _ } => {
-            writeln!(reply, "HAND_OFF\t{i}\t{id}\t{backend}\t{:.3}", timeout.unwrap_or(0.0))
+        Action::ForwardAttempt { id, endpoint, timeout, write_timeout: _ } => {
+            writeln!(reply, "HAND_OFF\t{i}\t{id}\t{endpoint}\t{:.3}", timeout.unwrap_or(0.0))
         }
-        Action::Refuse { id, retry_after } => writeln!(reply, "SHED\t{i}\t{id}\t{retry_after:.3}"),
+        Action::Reject { id, retry_after } => writeln!(reply, "SHED\t{i}\t{id}\t{retry_after:.3}"),
         Action::Fail { id } => writeln!(reply, "DROP_REQUEST\t{i}\t{id}"),
-        Action::CallOff { id, attempt } => writeln!(reply, "CALL_OFF\t{i}\t{id}\t{attempt}"),
+        Action::CancelAttempt { id, attempt } => writeln!(reply, "CALL_OFF\t{i}\t{id}\t{attempt}"),
         Action::SetTimer { after, token } => writeln!(reply, "NOTIFY_ME\t{i}\t{after:.3}\t{token}"),
-        Action::Probe { backend } => writeln!(reply, "TEST\t{i}\t{backend}"),
-        Action::Count { name, amount, keep } => {
+        Action::HealthCheck { endpoint } => writeln!(reply, "TEST\t{i}\t{endpoint}"),
+        Action::IncrementCounter { key: name, amount, ttl: keep } => {
             writeln!(reply, "CHARGE_COUNTER\t{i}\t{name}\t{amount:.6}\t{keep:.3}")
         }
-        Action::Tell { bytes } => writeln!(reply, "SHARE\t{i}\tall\t{}", STANDARD.encode(bytes)),
-        Action::WatchBackends => writeln!(reply, "WATCH\t{i}\t1"),
+        Action::Gossip { bytes } => writeln!(reply, "SHARE\t{i}\tall\t{}", STANDARD.encode(bytes)),
+        Action::WatchEndpoints => writeln!(reply, "WATCH\t{i}\t1"),
         Action::Log(text) => writeln!(reply, "SAY_LOG\t{i}\t{}", text.replace(['\n', '\t'], " ")),
     }
 }
--- a/simhost/src/main.rs
+++ b/sim-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! `doorcourse-simhost`: the wire on standard input and output.
+//! `ryefront-sim-adapter`: the wire on standard input and output.
 
 #![forbid(unsafe_code)]
 
@@ -6,10 +6,10 @@
 
 fn main() -> ExitCode {
     let (mut input, mut output) = (std::io::stdin().lock(), std::io::stdout().lock());
-    match doorcourse_simhost::Host::default().run(&mut input, &mut output) {
+    match ryefront_sim_adapter::Host::default().run(&mut input, &mut output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("doorcourse-simhost: {error}");
+            eprintln!("ryefront-sim-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/simhost/tests/settings.rs
+++ b/sim-adapter/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings with one key absent or zero, played on the wire: every request gets one answer in time all the same, or the
 //! start names the fault.
 
-use doorcourse_simhost::Host;
+use ryefront_sim_adapter::Host;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -143,15 +143,15 @@
     }
     let named = [
         "no /classes: line 2: settings name no request class",
-        "no /classes/0/effect: line 2: settings: unknown effect ",
-        "no /classes/1/effect: line 2: settings: unknown effect ",
-        "no /classes/2/effect: line 2: settings: unknown effect ",
-        "no /fleet-size: line 2: the gateway's number is not below the number of gateways",
-        "no /plans/0/burst: line 2: settings hold an unusable figure: a plan's burst",
-        "no /plans/1/burst: line 2: settings hold an unusable figure: a plan's burst",
-        "/fleet-size = 0: line 2: the gateway's number is not below the number of gateways",
-        "/plans/0/burst = 0: line 2: settings hold an unusable figure: a plan's burst",
-        "/plans/1/burst = 0: line 2: settings hold an unusable figure: a plan's burst",
+        "no /classes/0/effect: line 2: settings: effect is \"\", expected idempotent, deduplicated or at_most_once",
+        "no /classes/1/effect: line 2: settings: effect is \"\", expected idempotent, deduplicated or at_most_once",
+        "no /classes/2/effect: line 2: settings: effect is \"\", expected idempotent, deduplicated or at_most_once",
+        "no /fleet-size: line 2: settings: gateway index 7 is not below the number of gateways, 0",
+        "no /plans/0/burst: line 2: settings: a plan's burst is 0, expected more than 0 where there is a rate",
+        "no /plans/1/burst: line 2: settings: a plan's burst is 0, expected more than 0 where there is a rate",
+        "/fleet-size = 0: line 2: settings: gateway index 7 is not below the number of gateways, 0",
+        "/plans/0/burst = 0: line 2: settings: a plan's burst is 0, expected more than 0 where there is a rate",
+        "/plans/1/burst = 0: line 2: settings: a plan's burst is 0, expected more than 0 where there is a rate",
     ];
     assert_eq!(faults, named);
 }
--- a/simhost/tests/wire.rs
+++ b/sim-adapter/tests/wire.rs
@@ -1,6 +1,6 @@
 //! Wire transcripts: what a host answers, and what it says of input that it cannot read.
 
-use doorcourse_simhost::{Host, HostError};
+use ryefront_sim_adapter::{Host, HostError};
 
 const SETTINGS: &str = r#"{"classes":[{"name":"look","effect":"idempotent","goal-time-ms":500.0,"hard-limit-ms":2000.0,
 "worth":1.0}],"plans":[{"name":"p","refill":5.0,"burst":10.0,"worth-factor":1.0}],"fleet-size":2,"my-number":0,
@@ -23,7 +23,7 @@
     play(lines).expect_err("a fault").to_string()
 }
 
-const LIST: [&str; 2] = ["TABLE\t0\t1", "ENTRY\tbackend.x\tz\tk\t0\tIN\t1\t-"];
+const LIST: [&str; 2] = ["TABLE\t0\t1", "ENTRY\tendpoint.x\tz\tk\t0\tIN\t1\t-"];
 const NEWS: &str = "ANNOUNCE\t3\tremembered\t1\t0";
 const ORDER: &str = "ORDER\t3\t55\tc-1\t0\t900.0\tlook\t0\t0\t2\t1\tp";
 
@@ -39,11 +39,11 @@
     let call = first.iter().find(|l| l.starts_with("CHARGE_COUNTER\t3\t")).expect("a counter call");
     let name = call.split('\t').nth(2).expect("a name");
     let total = format!("TOTAL\t3\tdelivered\t{name}\t2.15\t5");
-    let end = "ATTEMPT_END\t3\t55\t18.5\tbackend.x\tdelivered\t86\t0\t0\t1\toutstanding:4,unheard:2";
+    let end = "ATTEMPT_END\t3\t55\t18.5\tendpoint.x\tdelivered\t86\t0\t0\t1\toutstanding:4,unheard:2";
     let script =
         ["BATCH\t1", &start, LIST[0], LIST[1], NEWS, ORDER, "YOUR_TURN", "BATCH\t2", &total, "YOUR_TURN"];
     let reply = play(&[&script[..], &["BATCH\t3", end, "YOUR_TURN"]].concat()).expect("a reply");
-    assert!(reply.iter().any(|l| l.starts_with("HAND_OFF\t3\t55\tbackend.x\t")), "{reply:?}");
+    assert!(reply.iter().any(|l| l.starts_with("HAND_OFF\t3\t55\tendpoint.x\t")), "{reply:?}");
     assert_eq!(reply.iter().filter(|l| *l == "READY").count(), 3);
 }
 
@@ -58,7 +58,7 @@
 #[test]
 fn a_list_number_used_again_stands_for_the_newer_list() {
     let start = start(3);
-    let newer = "ENTRY\tbackend.y\tz\tk\t0\tIN\t1\t-";
+    let newer = "ENTRY\tendpoint.y\tz\tk\t0\tIN\t1\t-";
     let script =
         ["BATCH\t1", &start, LIST[0], LIST[1], NEWS, LIST[0], newer, "ANNOUNCE\t3\tall\t2\t0", ORDER];
     let reply = play(&[&script[..], &["YOUR_TURN"]].concat()).expect("a reply");
@@ -66,7 +66,7 @@
     let total = format!("TOTAL\t3\tdelivered\t{}\t2\t5", call.split('\t').nth(2).expect("a name"));
     let reply =
         play(&[&script[..], &["YOUR_TURN", "BATCH\t2", &total, "YOUR_TURN"]].concat()).expect("a reply");
-    assert!(reply.iter().any(|l| l.starts_with("HAND_OFF\t3\t55\tbackend.y\t")), "{reply:?}");
+    assert!(reply.iter().any(|l| l.starts_with("HAND_OFF\t3\t55\tendpoint.y\t")), "{reply:?}");
 }
 
 #[test]
@@ -93,7 +93,7 @@
     assert_eq!(fault(&["BATCH\t1", "WHAT\t1"]), "line 2: unknown message WHAT");
     assert_eq!(fault(&["BATCH\t1", &start, "DUE\t3"]), "line 3: tag is missing");
     assert_eq!(fault(&["BATCH\t1", &start, "DUE\t3\tx"]), "line 3: tag is not a number: x");
-    assert_eq!(fault(&["BATCH\t1", &start, NEWS]), "line 3: no such list of backends");
+    assert_eq!(fault(&["BATCH\t1", &start, NEWS]), "line 3: no such list of endpoints");
     assert_eq!(fault(&["BATCH\t1", "TABLE\t0\t1", "YOUR_TURN"]), "line 3: expected an ENTRY line: YOUR_TURN");
     assert_eq!(fault(&["BATCH\t1", "START\t1\t2\t{}"]), "line 2: settings name no request class");
     assert_eq!(
