--- a/fleet/src/gateways.rs
+++ b/fleet/src/gateways.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery::{Batch, zone_name};
 use crate::experiment::Experiment;
-use ryefront_gateway::endpoints::EndpointRegistry;
+use ryefront_gateway::endpoint::EndpointRegistry;
 use ryefront_policy::{Event, LoadReportSource, PolicyEngine, QuotaPlan, Settings, SettingsError};
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/fleet/src/slopes.rs
+++ b/fleet/src/slopes.rs
@@ -6,9 +6,9 @@
 
 use crate::discovery::{Row, text};
 use crate::gateways::table;
-use ryefront_gateway::backoff::Pace;
+use ryefront_gateway::discovery::backoff::Pace;
 use ryefront_gateway::discovery::{List, ListError, watch};
-use ryefront_gateway::endpoints::EndpointRegistry;
+use ryefront_gateway::endpoint::EndpointRegistry;
 use ryefront_gateway::engine::Engine;
 use ryefront_policy::{
     Action, Arrival, AttemptEnd, CounterResult, DedupScope, EndpointState, Event, Idempotency,
--- a/gateway/src/clients.rs
+++ b/gateway/src/client/mod.rs
@@ -1,7 +1,7 @@
 //! The clients' side: takes requests in, reads their headers, writes their answers, drains at the end.
 
 use crate::clock::millis;
-use crate::endpoints::{LARGEST_BODY, Message};
+use crate::endpoint::{LARGEST_BODY, Message};
 use crate::engine::{Engine, Reply};
 use crate::socket::{Socket, is_local};
 use bytes::Bytes;
@@ -355,7 +355,7 @@
         let client = Rc::new(ClientConnection::new(socket.clone()));
         self.connections.borrow_mut().push(client.clone());
         let round = *closing.borrow();
-        crate::endpoints::spawn(async move {
+        crate::task::spawn(async move {
             let service = service_fn(|request| {
                 let (server, client) = (self.clone(), client.clone());
                 async move {
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -1,7 +1,7 @@
 //! What a gateway is told at its start: the environment and the file that `NODE_CONFIG` names.
 
-use crate::backoff::Pace;
 use crate::clock::{millis, span};
+use crate::discovery::backoff::Pace;
 use crate::discovery::{List, ListError};
 use ryefront_policy::Settings;
 use ryefront_settings::{Object, ReadError};
--- a/gateway/src/discovery.rs
+++ b/gateway/src/discovery/mod.rs
@@ -1,9 +1,11 @@
 //! The list of endpoints: what it says, and the watch that keeps it fresh.
 
-use crate::backoff::{CONNECT_TIMEOUT, Failure, Pace, Retry};
-use crate::connection::{Connection, Progress};
-use crate::endpoints::EndpointRegistry;
+pub mod backoff;
+
+use crate::discovery::backoff::{CONNECT_TIMEOUT, Failure, Pace, Retry};
+use crate::endpoint::EndpointRegistry;
 use crate::engine::Engine;
+use crate::http_connection::{Connection, Progress};
 use crate::log;
 use bytes::Bytes;
 use http_body_util::Full;
--- a/gateway/src/endpoints.rs
+++ b/gateway/src/endpoint/mod.rs
@@ -1,9 +1,11 @@
 //! The endpoints' side: where they listen, the connections to them, attempts and probes and how they end.
 
+pub mod pool;
+
 use crate::clock::millis;
-use crate::connection::{Connection, Progress};
 use crate::discovery::List;
-use crate::pool::Pool;
+use crate::endpoint::pool::Pool;
+use crate::http_connection::{Connection, Progress};
 use crate::socket::{ConnectError, Socket};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -439,8 +441,3 @@
     }
     Some(report)
 }
-
-/// Runs a task for as long as the program runs.
-pub fn spawn(task: impl Future<Output = ()> + 'static) {
-    tokio::task::spawn_local(task);
-}
--- a/gateway/src/engine.rs
+++ b/gateway/src/engine.rs
@@ -3,9 +3,10 @@
 
 use crate::clock::{Clock, millis, span};
 use crate::counter::Counter;
-use crate::endpoints::{Answer, End, EndpointRegistry, Message, spawn};
+use crate::endpoint::{Answer, End, EndpointRegistry, Message};
 use crate::log;
 use crate::socket::Socket;
+use crate::task::spawn;
 use ryefront_policy::fleet_clock::FleetClock;
 use ryefront_policy::{
     Action, Arrival, AttemptEnd, CounterResult, Event, Millis, Name, Outcome, PolicyEngine, RequestId,
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,19 +1,22 @@
-//! The real gateway: ryefront_policy's decisions on real sockets. Everything runs on one thread; what is to be
-//! decided is decided by the module behind [`engine`], the other files move bytes.
+//! A quota gateway on real sockets: one process, one thread.
+//!
+//! The decisions are those of [`ryefront_policy`]; [`engine`] passes events to them and performs their actions. The
+//! other modules move bytes: [`client`] accepts requests, [`endpoint`] forwards attempts, [`counter`] calls the shared
+//! counter, and [`discovery`] follows the endpoint list.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod backoff;
-pub mod clients;
+pub mod client;
 pub mod clock;
 pub mod config;
-pub mod connection;
 pub mod counter;
 pub mod discovery;
-pub mod endpoints;
+pub mod endpoint;
 pub mod engine;
+pub mod headers;
+pub mod http_connection;
 pub mod log;
-pub mod pool;
 pub mod signals;
 pub mod socket;
+pub mod task;
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -2,14 +2,15 @@
 
 #![forbid(unsafe_code)]
 
-use ryefront_gateway::clients::Server;
+use ryefront_gateway::client::Server;
 use ryefront_gateway::config::Config;
 use ryefront_gateway::discovery;
-use ryefront_gateway::endpoints::{EndpointRegistry, spawn};
+use ryefront_gateway::endpoint::EndpointRegistry;
 use ryefront_gateway::engine::Engine;
 use ryefront_gateway::log;
 use ryefront_gateway::signals::Signals;
 use ryefront_gateway::socket::is_local;
+use ryefront_gateway::task::spawn;
 use std::fmt::Display;
 use std::io;
 use std::net::SocketAddr;
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -437,15 +437,13 @@
     let world = World::set(&setup, Mood::Adds).await;
     let mut client = world.gateway.client().await;
     for path in ["/ord%C3%A9r%2050%25%2fb", "/ord%c3%a9r%2050%25%2Fb"] {
-        let text = request("order", 900, "", "b")
-            .replace("/order", path)
-            .replace("Plan: p", "Plan: groß & co");
+        let text =
+            request("order", 900, "", "b").replace("/order", path).replace("Plan: p", "Plan: groß & co");
         assert_eq!(client.ask(&text).await.status(), 200);
     }
     for wrong in ["/order", "/ord%C3%A9r%2050%25", "/ord%C3%A9r%2050%2fb", "/ord%C3%A9r%2050%25/b"] {
-        let text = request("order", 900, "", "b")
-            .replace("/order", wrong)
-            .replace("Plan: p", "Plan: groß & co");
+        let text =
+            request("order", 900, "", "b").replace("/order", wrong).replace("Plan: p", "Plan: groß & co");
         assert_eq!(world.gateway.client().await.ask(&text).await.status(), 400, "{wrong}");
     }
     let heard = endpoint.heard.lock().expect("lock");
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -3,9 +3,9 @@
 mod helper;
 
 use helper::{Do, Endpoint, World, list, ok, refusing, row};
-use ryefront_gateway::backoff::{CONNECT_TIMEOUT, Failure, Pace, Retry};
+use ryefront_gateway::discovery::backoff::{CONNECT_TIMEOUT, Failure, Pace, Retry};
 use ryefront_gateway::discovery::{self, List};
-use ryefront_gateway::endpoints::EndpointRegistry;
+use ryefront_gateway::endpoint::EndpointRegistry;
 use ryefront_gateway::engine::Engine;
 use ryefront_policy::LoadReportSource;
 use std::time::Duration;
--- a/gateway/tests/endpoints.rs
+++ b/gateway/tests/endpoints.rs
@@ -4,7 +4,7 @@
 
 use helper::{Do, Endpoint, Gateway, Mood, Setup, World, list, ok, pause, refusing, request, row};
 use http_body_util::Full;
-use ryefront_gateway::connection::{Connection, Progress};
+use ryefront_gateway::http_connection::{Connection, Progress};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
--- a/gateway/tests/pool.rs
+++ b/gateway/tests/pool.rs
@@ -1,6 +1,6 @@
 //! Idle connections: which are kept, used and given up.
 
-use ryefront_gateway::pool::Pool;
+use ryefront_gateway::endpoint::pool::Pool;
 use ryefront_policy::Name;
 use std::rc::Rc;
 use std::time::Duration;
--- a/gateway/tests/repeats.rs
+++ b/gateway/tests/repeats.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use helper::{Do, Endpoint, Mood, Setup, World, hear, ok, pause, request, row};
 use http_body_util::Full;
-use ryefront_gateway::connection::{Connection, Progress};
+use ryefront_gateway::http_connection::{Connection, Progress};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::time::Duration;
