--- a/policy/src/endpoint_table.rs
+++ b/policy/src/endpoint_table.rs
@@ -1,158 +1,199 @@
-//! The table of endpoints: what the list says of each, and what is out there. It is kept in slots, so that a request
-//! costs what its gateway's subset costs, and a change of the list what it names. Nothing is decided here.
+//! The table of endpoints: what the endpoint list says of each, and the attempts in flight.
+//!
+//! Endpoints are kept in slots, so that a request costs what its gateway's subset costs, and a change of the
+//! list what it names.
 
-use crate::endpoint::{Endpoint, StartClock};
+use crate::concurrency_limit::ConcurrencyLimit;
+use crate::endpoint::Endpoint;
 use crate::hash::hash;
+use crate::slow_start::{EndpointStart, StartClock};
 use crate::subset::{Slot, Subset};
-use crate::*;
+use crate::{EndpointEntry, EndpointState, Millis, Name};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
+/// Whether a list names all endpoints or only those that changed.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum ListKind {
+    Snapshot,
+    Delta,
+}
+
 /// All endpoints that one gateway knows, and its subset of them.
 #[derive(Default)]
 pub(crate) struct EndpointTable {
     slots: Vec<Endpoint>,
     free: Vec<Slot>,
-    /// Only ever asked for one name: its order says nothing.
-    names: FxHashMap<Name, Slot>,
-    gone: BTreeSet<Slot>,
+    /// Used for single look-ups only, as its order is unspecified.
+    slot_by_name: FxHashMap<Name, Slot>,
+    removed: BTreeSet<Slot>,
     subset: Subset,
-    starts: StartClock,
-    /// How many attempts are out in all.
-    out: u32,
-    gateways: u32,
+    start_clock: StartClock,
+    /// Attempts in flight at all endpoints together.
+    in_flight: u32,
+    gateway_count: u32,
 }
 
 impl EndpointTable {
-    /// No endpoints yet; where `whole` is set the subset is the whole fleet.
-    pub(crate) fn new(number: u32, gateways: u32, whole: bool) -> Self {
-        Self { subset: Subset::new(number, gateways, whole), gateways, ..Self::default() }
+    /// Returns a table without endpoints.
+    pub(crate) fn new(gateway_count: u32, subset: Subset) -> Self {
+        Self { subset, gateway_count, ..Self::default() }
     }
 
-    /// How many are remembered.
+    /// Returns the number of endpoints in the table.
     pub(crate) fn len(&self) -> usize {
-        self.names.len()
+        self.slot_by_name.len()
     }
 
-    /// Takes in a list, or changes to it: what a whole list does not name is gone.
-    pub(crate) fn update(&mut self, list: Vec<EndpointEntry>, whole: bool, now: Millis) {
-        let new = if whole { list.len().saturating_sub(self.names.len()) } else { 0 };
-        self.names.reserve(new);
-        self.slots.reserve(new);
-        for entry in list {
-            self.tell(entry, whole, now);
+    /// Applies an endpoint list. Endpoints that a snapshot does not name are removed.
+    pub(crate) fn apply(&mut self, entries: Vec<EndpointEntry>, kind: ListKind, now: Millis) {
+        let snapshot = kind == ListKind::Snapshot;
+        if snapshot {
+            let additional = entries.len().saturating_sub(self.slot_by_name.len());
+            self.slot_by_name.reserve(additional);
+            self.slots.reserve(additional);
         }
-        if whole {
-            for slot in 0..self.slots.len() {
-                let unlisted = !std::mem::take(&mut self.slots[slot].listed);
-                if unlisted && !self.slots[slot].gone {
-                    self.set(slot, false, true);
-                }
-            }
+        for entry in entries {
+            let slot = self.apply_entry(entry, now);
+            self.slots[slot].in_snapshot = snapshot;
+        }
+        if snapshot {
+            self.remove_missing();
         }
         self.subset.refresh();
     }
 
-    fn tell(&mut self, entry: EndpointEntry, listed: bool, now: Millis) {
-        let (ready, gone) = (entry.state == EndpointState::Ready, entry.state == EndpointState::Removed);
-        let EndpointEntry { name, zone, cell, started_at: started, .. } = entry;
-        let known = self.names.get(&name).copied();
-        let slot = known.unwrap_or_else(|| {
-            let slot = self.free.pop().unwrap_or(self.slots.len());
-            if slot == self.slots.len() {
-                self.slots.push(Endpoint::default());
-            }
-            self.names.insert(name.clone(), slot);
-            slot
-        });
-        if known.is_none() || self.slots[slot].started != started {
-            // Another process, of which nothing is known; what is out at the old one still ends.
-            self.set(slot, false, false);
-            let (out, salt, room) = (self.slots[slot].out, hash(&name), Endpoint::first_room(self.gateways));
-            self.slots[slot] =
-                Endpoint { name, zone, cell, salt, started, heard_at: now, out, room, ..Default::default() };
-            if let Some(started) = started {
-                self.starts.hear(started, now);
+    fn remove_missing(&mut self) {
+        for slot in 0..self.slots.len() {
+            let missing = !std::mem::take(&mut self.slots[slot].in_snapshot);
+            if missing && !self.slots[slot].removed {
+                self.set_state(slot, EndpointState::Removed);
             }
+        }
+    }
+
+    fn apply_entry(&mut self, entry: EndpointEntry, now: Millis) -> Slot {
+        let EndpointEntry { name, zone, cell, state, started_at } = entry;
+        let known = self.slot_by_name.get(&name).copied();
+        let slot = known.unwrap_or_else(|| self.allocate_slot(&name));
+        if known.is_none() || self.slots[slot].start.started_at != started_at {
+            self.replace(slot, name, zone, cell, EndpointStart { started_at, learned_at: now });
         } else if (&self.slots[slot].zone, self.slots[slot].cell) != (&zone, cell) {
-            // The same process elsewhere: a keyed repeat must not look for it in its old group.
-            self.set(slot, false, false);
-            (self.slots[slot].zone, self.slots[slot].cell) = (zone, cell);
+            // The same process moved: a keyed retry must not look for it in its old dedup scope.
+            self.set_state(slot, EndpointState::Draining);
+            self.slots[slot].zone = zone;
+            self.slots[slot].cell = cell;
         }
-        self.slots[slot].listed = listed;
-        self.set(slot, ready, gone);
+        self.set_state(slot, state);
+        slot
     }
 
-    /// Notes whether an endpoint may be sent something new, and whether it is gone.
-    fn set(&mut self, slot: Slot, ready: bool, gone: bool) {
+    fn allocate_slot(&mut self, name: &Name) -> Slot {
+        let slot = self.free.pop().unwrap_or(self.slots.len());
+        if slot == self.slots.len() {
+            self.slots.push(Endpoint::default());
+        }
+        self.slot_by_name.insert(name.clone(), slot);
+        slot
+    }
+
+    /// Puts a new process into a slot. Nothing is known of it, but attempts in flight at the old one still
+    /// end.
+    fn replace(&mut self, slot: Slot, name: Name, zone: Name, cell: u64, start: EndpointStart) {
+        self.set_state(slot, EndpointState::Draining);
+        let salt = hash(&name);
+        let in_flight = self.slots[slot].in_flight;
+        let limit = ConcurrencyLimit::initial(self.gateway_count);
+        self.slots[slot] =
+            Endpoint { name, zone, cell, salt, start, in_flight, limit, ..Endpoint::default() };
+        if let Some(started_at) = start.started_at {
+            self.start_clock.record(started_at, start.learned_at);
+        }
+    }
+
+    /// Sets whether an endpoint may be sent new requests and whether it is removed, and updates the subset.
+    fn set_state(&mut self, slot: Slot, state: EndpointState) {
         let Some(endpoint) = self.slots.get_mut(slot) else { return };
-        let was = std::mem::replace(&mut endpoint.ready, ready);
-        endpoint.gone = gone;
-        match (was, ready) {
+        let ready = state == EndpointState::Ready;
+        let was_ready = std::mem::replace(&mut endpoint.ready, ready);
+        endpoint.removed = state == EndpointState::Removed;
+        match (was_ready, ready) {
             (false, true) => self.subset.insert(slot, endpoint.salt, &endpoint.zone, endpoint.cell),
             (true, false) => self.subset.remove(slot, endpoint.salt, &endpoint.zone, endpoint.cell),
             _ => {}
         }
-        if gone {
-            self.gone.insert(slot);
+        if endpoint.removed {
+            self.removed.insert(slot);
         } else {
-            self.gone.remove(&slot);
+            self.removed.remove(&slot);
         }
     }
 
-    /// Forgets who is gone and has nothing out. Guards the memory against a fleet that is replaced all day.
-    pub(crate) fn forget_gone(&mut self) {
-        let (slots, names, free) = (&mut self.slots, &mut self.names, &mut self.free);
-        self.gone.retain(|slot| {
-            let idle = slots[*slot].out == 0;
+    /// Drops endpoints that are removed and have nothing in flight, so that a fleet that is replaced again
+    /// and again does not fill the memory.
+    pub(crate) fn drop_removed(&mut self) {
+        let (slots, slot_by_name, free) = (&mut self.slots, &mut self.slot_by_name, &mut self.free);
+        self.removed.retain(|slot| {
+            let idle = slots[*slot].in_flight == 0;
             if idle {
-                names.remove(&slots[*slot].name);
-                slots[*slot] = Endpoint { gone: true, ..Endpoint::default() };
+                slot_by_name.remove(&slots[*slot].name);
+                slots[*slot] = Endpoint { removed: true, ..Endpoint::default() };
                 free.push(*slot);
             }
             !idle
         });
     }
 
-    /// The subset of the list as it is now.
+    /// Returns the subset by the present list.
     pub(crate) fn subset(&self) -> &Subset {
         &self.subset
     }
 
-    /// The clock by which endpoints' starts are told.
-    pub(crate) fn starts(&self) -> &StartClock {
-        &self.starts
+    /// Returns the clock by which endpoints' starts are reported.
+    pub(crate) fn start_clock(&self) -> &StartClock {
+        &self.start_clock
     }
 
-    /// The endpoint in a slot.
+    /// Returns the endpoint in a slot.
     pub(crate) fn get(&self, slot: Slot) -> &Endpoint {
         &self.slots[slot]
     }
 
-    /// The endpoint of a name.
-    pub(crate) fn named(&self, name: &str) -> Option<&Endpoint> {
-        self.names.get(name).map(|slot| &self.slots[*slot])
+    /// Returns the endpoint of a name.
+    pub(crate) fn by_name(&self, name: &str) -> Option<&Endpoint> {
+        self.slot_by_name.get(name).map(|slot| &self.slots[*slot])
     }
 
-    /// Notes that an attempt goes out to an endpoint; tells its name.
-    pub(crate) fn sent(&mut self, slot: Slot) -> Name {
-        self.out += 1;
-        self.slots[slot].out += 1;
+    /// Notes that an attempt is forwarded to an endpoint, and returns the endpoint's name.
+    pub(crate) fn attempt_forwarded(&mut self, slot: Slot) -> Name {
+        self.in_flight += 1;
+        self.slots[slot].in_flight += 1;
         self.slots[slot].name.clone()
     }
 
-    /// Notes that an attempt at an endpoint has ended.
-    pub(crate) fn ended(&mut self, name: &str) -> Option<&mut Endpoint> {
-        let slot = self.names.get(name)?;
+    /// Notes that an attempt at an endpoint has ended, and returns the endpoint.
+    pub(crate) fn attempt_ended(&mut self, name: &str) -> Option<&mut Endpoint> {
+        let slot = self.slot_by_name.get(name)?;
         let endpoint = &mut self.slots[*slot];
-        if endpoint.out > 0 {
-            (endpoint.out, self.out) = (endpoint.out - 1, self.out - 1);
+        if endpoint.in_flight > 0 {
+            endpoint.in_flight -= 1;
+            self.in_flight -= 1;
         }
         Some(endpoint)
     }
 
-    /// How many attempts are out in all.
-    pub(crate) fn out(&self) -> f64 {
-        f64::from(self.out)
+    /// Returns whether another attempt fits beside those in flight at all endpoints together.
+    pub(crate) fn has_capacity(&self) -> bool {
+        f64::from(self.in_flight) < self.total_limit()
+    }
+
+    /// Returns the most attempts that this gateway keeps in flight at all endpoints together: the limits of
+    /// its own subset, and the initial limit of every other endpoint.
+    pub(crate) fn total_limit(&self) -> f64 {
+        let members = self.subset.members();
+        let others = self.subset.ready() - members.len();
+        let own_limit = members.iter().map(|slot| self.slots[*slot].limit.value()).sum::<f64>();
+        let limit = own_limit + others as f64 * ConcurrencyLimit::initial(self.gateway_count).value();
+        limit.max(1.0)
     }
 }
--- a/policy/src/event.rs
+++ b/policy/src/event.rs
@@ -186,7 +186,8 @@
     Pending,
     /// The counter did not reply: the host's own clock is used.
     Unavailable,
-    /// The fleet has a clock other than the host's own, and its offset is not yet known well enough to name keys.
+    /// The fleet has a clock other than the host's own, and its offset is not yet known well enough to name
+    /// keys.
     Converging,
     /// The offset is known.
     Synchronized {
--- a/policy/src/fleet_clock.rs
+++ b/policy/src/fleet_clock.rs
@@ -1,50 +1,57 @@
 //! A clock that the gateways of a fleet share, kept on the shared counter.
 //!
-//! Count names are made of a window's number, so gateways must agree on the time. Their machines' clocks may
-//! not, as a wall clock can be stepped. What all see alike is the counter: one fixed name, the register,
-//! holds the fleet's time at which it was written, and is forgotten [`LIFE`] later. Who reads it knows the
-//! fleet's time to within that; further reads narrow it down. Who finds it empty writes its own idea of the
-//! fleet's time. As it runs out a few gateways, drawn by chance, look, so that the calls do not grow with the
-//! fleet.
+//! Counter keys are derived from window numbers, so gateways must agree on the time. The wall clocks of their
+//! machines may be stepped and need not agree; what all gateways see alike is the counter. One fixed key, the
+//! register, holds the fleet's time at which it was written, and expires [`LIFE`] later. A gateway that reads
+//! it knows the fleet's time to within that; further reads narrow the bounds. A gateway that finds it empty
+//! writes what it takes the fleet's time to be. When the register expires, a few gateways chosen at random
+//! read it, so that the number of calls does not grow with the fleet.
 //!
-//! The state machine does no input or output: the host makes the calls that [`FleetClock::poll`] asks for,
-//! reports how they ended, and tells its gateway of [`FleetClock::time`] by `Event::FleetClock`.
+//! The state machine does no I/O: the host makes the calls that [`FleetClock::poll`] returns, reports how
+//! they ended, and passes [`FleetClock::time`] to its engine with
+//! [`Event::FleetClock`](crate::Event::FleetClock).
 
-use crate::hash::{hash, mix, unit};
+use crate::hash::hash;
+use crate::random::Random;
 use crate::{CounterResult, FleetTime, Millis};
 
-/// The fleet's time is told modulo this, as a total is exact to seven digits only.
+/// The fleet's time is kept modulo this, as a total is exact to seven digits only.
 pub const CYCLE: Millis = 4_000_000.0;
 /// How long the register lasts.
 pub const LIFE: Millis = 1000.0;
-/// The register tells the time in steps of this.
-const STEP: Millis = 10.0;
-/// A mark is a number of steps, times this, and the tag. The sum of several marks, which is there for a
-/// moment when gateways write at the same time, has another tag or is too large.
-const TAGS: f64 = 16.0;
+/// The resolution of the time in the register.
+const RESOLUTION: Millis = 10.0;
+/// A mark is a time in steps of the resolution, times this, plus the tag. The sum of several marks, which
+/// exists for a moment when gateways write at the same time, has another tag or is too large.
+const TAG_RANGE: f64 = 16.0;
 const TAG: f64 = 5.0;
-/// A mark may be this much older than its count's life, or the life older than the mark: a mark is made
+/// A total below this is that of an empty register.
+const EMPTY_TOLERANCE: f64 = 0.5;
+/// A mark may be older than its key's life by this much, or the life older than the mark: a mark is made
 /// between the read that found the register empty and the write.
-const SLACK: Millis = 50.0;
-/// So many gateways look each time the register runs out.
+const WRITE_DELAY: Millis = 50.0;
+/// The number of gateways that read the register each time it expires.
 const READERS: f64 = 2.0;
-/// They look within this time after it ran out.
-const SPREAD: Millis = 150.0;
-/// A gateway that starts with another time reads the register this far apart, until its bounds are as narrow
-/// as this, and not more often than it takes to see it run out.
-const SETTLING_GAP: Millis = 50.0;
-const NARROW: Millis = 200.0;
-const SETTLING_READS: u32 = 30;
-/// While the time is not known a call that failed is made again after this, doubled with each up to the last.
-/// Once it is known, so many turns are passed over, doubled likewise. A counter that cannot bear all calls
-/// has more useful ones to answer.
-const RETRY: (Millis, Millis) = (100.0, 3000.0);
-const MOST_PASSED_OVER: Millis = 32.0;
-/// The first calls of a fleet that starts as a whole, and those made again, are spread over this for each
-/// gateway: all ask for one name, and the counter has more useful calls to answer.
-const SPREAD_EACH: Millis = 10.0;
-/// In a fleet of more gateways than this counts are named by the own clock until the first read is answered;
-/// in a smaller one that comes at once and is waited for.
+/// They read within this time after it expired.
+const READ_SPREAD: Millis = 150.0;
+/// A gateway whose own time differs reads the register at this interval until its bounds are narrow, and no
+/// more often than it takes to see the register expire.
+const CONVERGING_INTERVAL: Millis = 50.0;
+/// The distance of bounds that are narrow.
+const NARROW_BOUNDS: Millis = 200.0;
+const MAX_CONVERGING_READS: u32 = 30;
+/// The first and the longest pause before a call that failed is retried, while the time is not known.
+const FIRST_BACKOFF: Millis = 100.0;
+const MAX_BACKOFF: Millis = 3000.0;
+/// Once the time is known, this many lives of the register are skipped after a first failure, and at the
+/// most: a counter that cannot keep up has more useful calls to answer.
+const FIRST_SKIPPED_LIVES: f64 = 2.0;
+const MAX_SKIPPED_LIVES: f64 = 32.0;
+/// The first calls of a fleet that starts all at once, and retries, are spread over this time for each
+/// gateway, as all of them go to one key.
+const SPREAD_PER_GATEWAY: Millis = 10.0;
+/// In a fleet of more gateways than this, keys are named by the own clock until the first read is answered.
+/// In a smaller one the answer comes at once and is awaited.
 const SMALL_FLEET: f64 = 16.0;
 
 /// A call of the counter that the host is to make.
@@ -54,101 +61,115 @@
     pub key: u64,
     /// What to add.
     pub amount: f64,
-    /// The life of a new name.
+    /// How long a new key is kept.
     pub ttl: Millis,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Call {
     Read {
-        made: Millis,
+        made_at: Millis,
     },
     Write {
         mark: f64,
     },
-    /// Takes a mark back that was added to another's.
+    /// Takes back a mark that was added to another gateway's.
     Undo {
         mark: f64,
     },
 }
 
+/// The bounds of the offset between the fleet's clock and the own clock.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Bounds {
+    low: Millis,
+    high: Millis,
+}
+
+impl Bounds {
+    /// Returns what both bounds allow, or `None` if they contradict each other.
+    fn intersection(self, other: Self) -> Option<Self> {
+        let bounds = Self { low: self.low.max(other.low), high: self.high.min(other.high) };
+        (bounds.low <= bounds.high).then_some(bounds)
+    }
+}
+
 /// One gateway's view of the fleet's clock.
 #[derive(Debug)]
 pub struct FleetClock {
-    gateways: f64,
-    random: u64,
-    /// The fleet's clock is this much ahead of this gateway's, as far as is known.
+    gateway_count: f64,
+    random: Random,
+    /// How far the fleet's clock is ahead of the own clock, as far as is known.
     offset: Millis,
-    /// Between which bounds the true offset lies, once the register has been read or written.
-    bounds: Option<(Millis, Millis)>,
-    /// The bounds were narrow enough once, or had room for this gateway's own time.
-    settled: bool,
-    /// The fleet's time that the register told last.
-    written: Millis,
-    out: Option<Call>,
-    /// What to do once the present call has ended.
-    next: Option<Call>,
+    /// The bounds of the true offset, once the register has been read or written.
+    bounds: Option<Bounds>,
+    /// Whether the bounds were narrow enough once, or contained the own time.
+    synchronized: bool,
+    /// The time that the register held last.
+    written_at: Millis,
+    call_in_flight: Option<Call>,
+    /// The call to make once the present one has ended.
+    next_call: Option<Call>,
     due: Millis,
     reads: u32,
-    /// So many calls in a row have failed.
-    failures: u32,
+    consecutive_failures: u32,
 }
 
 impl FleetClock {
-    /// A clock that knows its own gateway's time alone, as of `now`.
-    pub fn new(gateways: u32, seed: u64, now: Millis) -> Self {
-        let gateways = f64::from(gateways);
+    /// Returns a clock that knows only its gateway's own time, as of `now`.
+    pub fn new(gateway_count: u32, seed: u64, now: Millis) -> Self {
+        let gateway_count = f64::from(gateway_count);
         let mut clock = Self {
-            gateways,
-            random: mix(!seed),
+            gateway_count,
+            random: Random::new(!seed),
             offset: 0.0,
             bounds: None,
-            settled: false,
-            written: 0.0,
-            out: None,
-            next: None,
+            synchronized: false,
+            written_at: 0.0,
+            call_in_flight: None,
+            next_call: None,
             due: now,
             reads: 0,
-            failures: 0,
+            consecutive_failures: 0,
         };
-        if gateways > SMALL_FLEET {
-            clock.due += gateways * SPREAD_EACH * clock.chance();
+        if gateway_count > SMALL_FLEET {
+            clock.due += gateway_count * SPREAD_PER_GATEWAY * clock.draw();
         }
         clock
     }
 
-    /// The name of the register: the same at all gateways.
+    /// Returns the key of the register, the same at all gateways.
     pub fn register() -> u64 {
         hash("the fleet's clock") >> 1
     }
 
-    /// Whether there are others to agree with. A fleet of one makes no calls.
+    /// Returns whether there are other gateways to agree with. A fleet of one makes no calls.
     pub fn is_shared(&self) -> bool {
-        self.gateways > 1.0
+        self.gateway_count > 1.0
     }
 
-    /// What is known of the fleet's time.
+    /// Returns what is known of the fleet's time.
     pub fn time(&self) -> FleetTime {
         match self.bounds {
-            None if self.failures == 0 && self.gateways <= SMALL_FLEET => FleetTime::Pending,
+            None if self.consecutive_failures == 0 && self.gateway_count <= SMALL_FLEET => FleetTime::Pending,
             None => FleetTime::Unavailable,
-            Some(_) if !self.settled => FleetTime::Converging,
+            Some(_) if !self.synchronized => FleetTime::Converging,
             Some(_) => FleetTime::Synchronized { offset: self.offset },
         }
     }
 
-    /// When to poll next.
+    /// Returns when to poll next.
     pub fn due(&self) -> Millis {
         self.due
     }
 
-    /// The call to make now, if there is one. Each is to be reported to [`Self::answered`].
+    /// Returns the call to make now, if there is one. Its result is to be passed to [`Self::answered`].
     pub fn poll(&mut self, now: Millis) -> Option<RegisterCall> {
-        if self.out.is_some() || now < self.due || !self.is_shared() {
+        if self.call_in_flight.is_some() || now < self.due || !self.is_shared() {
             return None;
         }
-        let call = self.next.take().unwrap_or(Call::Read { made: now });
-        self.out = Some(call);
+        let call = self.next_call.take().unwrap_or(Call::Read { made_at: now });
+        self.call_in_flight = Some(call);
         let amount = match call {
             Call::Read { .. } => 0.0,
             Call::Write { mark } => mark,
@@ -158,95 +179,98 @@
     }
 
     /// Takes in how a call ended.
-    pub fn answered(&mut self, now: Millis, outcome: CounterResult) {
-        let Some(call) = self.out.take() else { return };
-        let CounterResult::Total(total) = outcome else {
-            self.failures += 1;
-            let doubled = f64::from(self.failures - 1).exp2();
-            self.due = if self.settled {
-                self.next_look(now) + (2.0 * doubled).min(MOST_PASSED_OVER) * LIFE
-            } else {
-                let first = RETRY.0.max(self.gateways * SPREAD_EACH);
-                now + (first * doubled).min(RETRY.1.max(first)) * (0.5 + self.chance())
-            };
-            return;
-        };
-        self.failures = 0;
+    pub fn answered(&mut self, now: Millis, result: CounterResult) {
+        let Some(call) = self.call_in_flight.take() else { return };
+        let CounterResult::Total(total) = result else { return self.on_failure(now) };
+        self.consecutive_failures = 0;
         match call {
-            Call::Read { .. } if total.abs() < 0.5 => self.found_empty(now),
-            Call::Read { made } => match time_of(total) {
-                Some(written) => self.found(made, now, written),
-                // Others are writing just now.
-                None => self.due = now + RETRY.0 * (0.5 + self.chance()),
+            Call::Read { .. } if total.abs() < EMPTY_TOLERANCE => self.on_empty(now),
+            Call::Read { made_at } => match time_of_mark(total) {
+                Some(written_at) => self.on_read(made_at, now, written_at),
+                // Others are writing at this moment.
+                None => self.due = now + FIRST_BACKOFF * (0.5 + self.draw()),
             },
-            Call::Write { mark } if (total - mark).abs() < 0.5 => {
-                self.bounds = Some((self.offset - STEP, self.offset + STEP));
-                self.settled = true;
-                self.due = self.next_look(now);
+            Call::Write { mark } if (total - mark).abs() < EMPTY_TOLERANCE => {
+                self.bounds = Some(Bounds { low: self.offset - RESOLUTION, high: self.offset + RESOLUTION });
+                self.synchronized = true;
+                self.due = self.next_read(now);
             }
             Call::Write { mark } => {
-                self.next = Some(Call::Undo { mark });
+                self.next_call = Some(Call::Undo { mark });
                 self.due = now;
             }
             Call::Undo { .. } => self.due = now,
         }
     }
 
-    /// The register was read by a call that was made then and answered now; it tells when it was written.
-    fn found(&mut self, made: Millis, now: Millis, written: Millis) {
-        self.written = written;
-        let least = centred(written - now);
-        let most = least + (now - made) + LIFE + STEP + SLACK;
-        self.narrow(least, most);
-        let age = centred(self.fleet_time(now) - written);
-        self.due = if !self.settled {
-            now + SETTLING_GAP
+    /// Sets the next call after one that failed, with exponential backoff.
+    fn on_failure(&mut self, now: Millis) {
+        self.consecutive_failures += 1;
+        let factor = f64::from(self.consecutive_failures - 1).exp2();
+        self.due = if self.synchronized {
+            self.next_read(now) + (FIRST_SKIPPED_LIVES * factor).min(MAX_SKIPPED_LIVES) * LIFE
+        } else {
+            let first = FIRST_BACKOFF.max(self.gateway_count * SPREAD_PER_GATEWAY);
+            now + (first * factor).min(MAX_BACKOFF.max(first)) * (0.5 + self.draw())
+        };
+    }
+
+    /// Takes in a read that was made at `made_at` and answered now, and found the time `written_at`.
+    fn on_read(&mut self, made_at: Millis, now: Millis, written_at: Millis) {
+        self.written_at = written_at;
+        let low = centered(written_at - now);
+        let high = low + (now - made_at) + LIFE + RESOLUTION + WRITE_DELAY;
+        self.narrow(Bounds { low, high });
+        let age = centered(self.fleet_time(now) - written_at);
+        self.due = if !self.synchronized {
+            now + CONVERGING_INTERVAL
         } else if age > LIFE / 2.0 {
-            // It runs out soon, and somebody has to write it anew.
-            now + (LIFE - age).max(0.0) + SPREAD / 4.0 * self.chance()
+            // It expires soon, and some gateway has to write it anew.
+            now + (LIFE - age).max(0.0) + READ_SPREAD / 4.0 * self.draw()
         } else {
-            self.next_look(now)
+            self.next_read(now)
         };
     }
 
-    /// The register has run out: whoever knows the fleet's time writes it anew, and where nobody has written
-    /// it yet the fleet's time is this gateway's own.
-    fn found_empty(&mut self, now: Millis) {
+    /// Takes in a read that found the register empty: a gateway that knows the fleet's time writes it anew,
+    /// and if no gateway has written it before, the fleet's time is this gateway's own.
+    fn on_empty(&mut self, now: Millis) {
         match self.bounds {
-            Some((_, most)) if !self.settled => {
-                let least = centred(self.written + LIFE - SLACK - now);
-                self.narrow(least, most.max(least));
+            Some(bounds) if !self.synchronized => {
+                let low = centered(self.written_at + LIFE - WRITE_DELAY - now);
+                self.narrow(Bounds { low, high: bounds.high.max(low) });
             }
             Some(_) => {}
-            None => self.settled = true,
+            None => self.synchronized = true,
         }
-        if self.settled {
-            self.next = Some(Call::Write { mark: self.mark(now) });
+        if self.synchronized {
+            self.next_call = Some(Call::Write { mark: self.mark(now) });
             self.due = now;
         } else {
-            self.due = now + SETTLING_GAP;
+            self.due = now + CONVERGING_INTERVAL;
         }
     }
 
-    /// The true offset lies between these bounds, too. Where they contradict those known so far the register
-    /// is right: all others go by it. The offset moves no more than it has to.
-    fn narrow(&mut self, least: Millis, most: Millis) {
-        let known = self.bounds.map(|(low, high)| (low.max(least), high.min(most)));
-        let (low, high) = known.filter(|(low, high)| low <= high).unwrap_or((least, most));
+    /// Narrows the bounds of the true offset by new ones. Where these contradict the old ones the register is
+    /// right, as all others follow it. The offset moves no more than it has to.
+    fn narrow(&mut self, new: Bounds) {
+        let Bounds { low, high } = self.bounds.and_then(|known| known.intersection(new)).unwrap_or(new);
         self.reads += 1;
-        let own_fits = self.bounds.is_none() && (low..=high - SLACK).contains(&self.offset);
-        self.settled |= own_fits || high - low <= NARROW || self.reads >= SETTLING_READS;
-        self.bounds = Some((low, high));
-        self.offset = if self.settled { self.offset.clamp(low, high) } else { f64::midpoint(low, high) };
+        let own_time_fits = self.bounds.is_none() && (low..=high - WRITE_DELAY).contains(&self.offset);
+        let narrow = high - low <= NARROW_BOUNDS;
+        self.synchronized |= own_time_fits || narrow || self.reads >= MAX_CONVERGING_READS;
+        self.bounds = Some(Bounds { low, high });
+        self.offset = if self.synchronized { self.offset.clamp(low, high) } else { f64::midpoint(low, high) };
     }
 
-    /// When to look again after the register was seen fresh: as the register runs out, but only in one of so
-    /// many turns that a few gateways look in each.
-    fn next_look(&mut self, now: Millis) -> Millis {
-        let share = (READERS / self.gateways).min(1.0);
-        let skipped = if share < 1.0 { (self.chance().ln() / (1.0 - share).ln()).floor() } else { 0.0 };
-        let turn = LIFE - self.fleet_time(now) % LIFE;
-        now + turn + skipped * LIFE + SPREAD * self.chance()
+    /// Returns when to read again after the register was found fresh: as it expires, but only in so many of
+    /// its lives that a few gateways read in each.
+    fn next_read(&mut self, now: Millis) -> Millis {
+        let probability = (READERS / self.gateway_count).min(1.0);
+        let skipped_lives =
+            if probability < 1.0 { (self.draw().ln() / (1.0 - probability).ln()).floor() } else { 0.0 };
+        let rest_of_life = LIFE - self.fleet_time(now) % LIFE;
+        now + rest_of_life + skipped_lives * LIFE + READ_SPREAD * self.draw()
     }
 
     fn fleet_time(&self, now: Millis) -> Millis {
@@ -254,23 +278,23 @@
     }
 
     fn mark(&self, now: Millis) -> f64 {
-        (self.fleet_time(now) / STEP).floor() * TAGS + TAG
+        (self.fleet_time(now) / RESOLUTION).floor() * TAG_RANGE + TAG
     }
 
-    fn chance(&mut self) -> f64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        unit(self.random).max(f64::MIN_POSITIVE)
+    /// Draws a number in (0, 1).
+    fn draw(&mut self) -> f64 {
+        self.random.unit().max(f64::MIN_POSITIVE)
     }
 }
 
-/// The fleet's time that a total of the register tells, if it is one mark.
-fn time_of(total: f64) -> Option<Millis> {
-    let steps = (total - TAG) / TAGS;
-    let time = steps * STEP;
+/// Returns the time in a total of the register, if it is a single mark.
+fn time_of_mark(total: f64) -> Option<Millis> {
+    let steps = (total - TAG) / TAG_RANGE;
+    let time = steps * RESOLUTION;
     (steps.fract().abs() < 1e-9 && (0.0..CYCLE).contains(&time)).then_some(time)
 }
 
-/// A difference between two times of the fleet's: the one nearest to 0.
-fn centred(difference: Millis) -> Millis {
+/// Returns the difference between two of the fleet's times that is nearest to 0.
+fn centered(difference: Millis) -> Millis {
     (difference + CYCLE / 2.0).rem_euclid(CYCLE) - CYCLE / 2.0
 }
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -1,8 +1,8 @@
 //! The decisions of a quota gateway: quotas, load balancing, retries and load shedding.
 //!
-//! A fleet of gateways meters many tenants' use of one shared service. This crate does no I/O, reads no clock and
-//! draws no randomness beyond its seed: the host passes each [`Event`] with its time to a [`PolicyEngine`] and
-//! performs the [`Action`]s that come back.
+//! A fleet of gateways meters many tenants' use of one shared service. This crate does no I/O, reads no clock
+//! and draws no randomness beyond its seed: the host passes each [`Event`] with its time to a
+//! [`PolicyEngine`] and performs the [`Action`]s that come back.
 //!
 //! ```
 //! use ryefront_policy::{
@@ -68,29 +68,42 @@
 //!
 //! # What the host must provide
 //!
-//! - One engine for each gateway process. After a restart, a new engine with a fresh seed and the last endpoint
-//!   list. No two engines share a seed, or they would make the same random choices.
-//! - Clocks that agree among gateways to well within the shortest quota window of any plan, as counter keys are
-//!   derived from window numbers: gateways whose clocks differ by a window grant the quota twice. A host whose clock
-//!   may be off keeps a [`fleet_clock::FleetClock`] and reports its offset with [`Event::FleetClock`].
-//! - A counter that adds an amount to a key and returns the total. A call without a reply in time is reported as
-//!   [`CounterResult::Unknown`]. Each call gets one reply, in the order of the calls of a key.
+//! - One engine for each gateway process. After a restart, a new engine with a fresh seed and the last
+//!   endpoint list. No two engines share a seed, or they would make the same random choices.
+//! - Clocks that agree among gateways to well within the shortest quota window of any plan, as counter keys
+//!   are derived from window numbers: gateways whose clocks differ by a window grant the quota twice. A host
+//!   whose clock may be off keeps a [`fleet_clock::FleetClock`] and reports its offset with
+//!   [`Event::FleetClock`].
+//! - A counter that adds an amount to a key and returns the total. A call without a reply in time is reported
+//!   as [`CounterResult::Unknown`]. Each call gets one reply, in the order of the calls of a key.
 //! - Every timer that was set, once, at or after its time.
-//! - Exactly one [`Event::AttemptEnded`] for every [`Action::ForwardAttempt`], by the client's deadline at the latest.
+//! - Exactly one [`Event::AttemptEnded`] for every [`Action::ForwardAttempt`], by the client's deadline at
+//!   the latest.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod action;
-mod demand;
+mod concurrency_limit;
 mod endpoint;
 mod endpoint_table;
 mod engine;
 mod event;
 pub mod fleet_clock;
 mod hash;
+mod load_balancer;
+mod load_shedder;
+mod outlier_detection;
+mod quota;
+mod random;
+mod request;
+mod response_latency;
+mod retry;
+mod retry_after;
 mod settings;
+mod slow_start;
 mod subset;
+mod wait_queue;
 
 pub use action::Action;
 pub use engine::PolicyEngine;
--- /dev/null
+++ b/policy/src/quota/counter_call.rs
@@ -0,0 +1,73 @@
+//! The calls that a tenant makes to the counter: what is added, to which key.
+
+use super::decayed_count::increment_weight;
+use super::share::QuotaShare;
+use super::tenant::{PendingCall, Tenant};
+use super::window::Now;
+use super::{IDLE_PERIODS, MAX_RETENTION};
+use crate::Millis;
+
+/// A key that is only read is not kept.
+const READ_TTL: Millis = 1.0;
+
+/// A counter call to make.
+pub(super) struct CounterCall {
+    pub(super) key: u64,
+    pub(super) amount: f64,
+    /// How long a new key is kept.
+    pub(super) ttl: Millis,
+}
+
+impl CounterCall {
+    /// Returns the call that reads the total of the window before, and notes it as pending.
+    pub(super) fn read_previous(tenant: &mut Tenant, share: QuotaShare<'_>) -> Self {
+        let window = tenant.lease.window().wrapping_sub(1);
+        tenant.pending_call = Some(PendingCall::ReadPrevious { window });
+        Self { key: share.counter_key(window), amount: 0.0, ttl: READ_TTL }
+    }
+
+    /// Returns the call that adds a lease block and the unreported usage, and notes it as pending.
+    pub(super) fn increment(
+        tenant: &mut Tenant, share: QuotaShare<'_>, draining: bool, call_ratio: f64, now: Now,
+    ) -> Self {
+        let window = tenant.lease.window();
+        let length = share.schedule().length();
+        let low_quota = share.is_low_quota();
+        let block = if low_quota {
+            low_quota_demand(tenant) / call_ratio
+        } else {
+            lease_block(tenant, share, draining)
+        };
+        let unreported = tenant.lease.take_unreported();
+        tenant.pending_call = Some(PendingCall::Increment { window, block, unreported });
+        let (weight, ttl) = if low_quota {
+            let elapsed = share.schedule().elapsed(window, now);
+            (increment_weight(elapsed, share.refill_period()), length)
+        } else {
+            (1.0, (length * IDLE_PERIODS).min(MAX_RETENTION))
+        };
+        Self { key: share.counter_key(window), amount: (block + unreported) * weight, ttl }
+    }
+}
+
+/// Returns whether the total of the window before is needed: the present window alone does not tell what
+/// other gateways used a moment ago.
+pub(super) fn needs_previous_total(tenant: &Tenant, share: QuotaShare<'_>) -> bool {
+    let lease = &tenant.lease;
+    !lease.has_reading() && !share.is_low_quota() && !lease.knows_total_before(lease.window())
+}
+
+/// Returns the demand of the waiting requests, without clients' retries.
+fn low_quota_demand(tenant: &Tenant) -> f64 {
+    tenant.waiting.iter().filter(|request| !request.client_retry).map(|request| request.units).sum()
+}
+
+/// Returns how many units to lease beside those that are left of the lease: while draining, no more than what
+/// waiting requests need.
+fn lease_block(tenant: &Tenant, share: QuotaShare<'_>, draining: bool) -> f64 {
+    let lease = &tenant.lease;
+    let needed: f64 = tenant.waiting.iter().map(|request| request.units).sum();
+    let needed = needed.min(lease.remaining().max(1.0));
+    let block = if draining { needed } else { lease.next_block(needed, &tenant.demand, share) };
+    (block - lease.leased()).max(0.0)
+}
--- /dev/null
+++ b/policy/src/quota/counter_calls.rs
@@ -0,0 +1,127 @@
+//! Calls to the shared counter: those in flight, their bound, back-pressure, and the counter's
+//! unavailability.
+
+use crate::{CounterResult, Millis, Name, Settings};
+use std::collections::BTreeMap;
+
+/// A request waits for a reply of the counter at most this fraction of its latency objective.
+pub(crate) const MAX_WAIT_FRACTION: f64 = 0.12;
+/// The most calls in flight while the counter keeps up.
+const MAX_CALLS_IN_FLIGHT: f64 = 12.0;
+/// Replies should arrive within this fraction of the shortest wait of a request: slower, and fewer calls are
+/// made.
+const FAST_REPLY_FRACTION: f64 = 0.3;
+/// By how much an instant reply raises the call ratio; a late one lowers it by up to twice as much.
+const CALL_RATIO_STEP: f64 = 0.2;
+/// The lowest call ratio: without calls a gateway would not learn that the counter has recovered.
+const MIN_CALL_RATIO: f64 = 0.1;
+/// The counter counts as unavailable after this many timeouts without a reply: a single call may just be
+/// late.
+const UNAVAILABLE_AFTER_TIMEOUTS: f64 = 3.0;
+/// ... and after this many consecutive failures.
+const UNAVAILABLE_AFTER_FAILURES: u32 = 2;
+
+/// A change of the counter's availability, to be logged.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum AvailabilityChange {
+    Unavailable,
+    Recovered,
+}
+
+/// The calls of one gateway to the counter.
+#[derive(Debug)]
+pub(crate) struct CounterCalls {
+    tenant_by_key: BTreeMap<u64, Name>,
+    /// The fraction of the wanted calls that the counter keeps up with, by how fast it replies.
+    call_ratio: f64,
+    consecutive_failures: u32,
+    last_reply_at: Millis,
+    recovered_at: Millis,
+    unavailability_logged: bool,
+    has_counter: bool,
+    timeout: Millis,
+    /// A reply within this time is fast.
+    fast_reply: Millis,
+}
+
+impl CounterCalls {
+    pub(crate) fn new(settings: &Settings) -> Self {
+        let waits = settings.classes.iter().map(|class| class.latency_objective * MAX_WAIT_FRACTION);
+        Self {
+            tenant_by_key: BTreeMap::new(),
+            call_ratio: 1.0,
+            consecutive_failures: 0,
+            last_reply_at: 0.0,
+            recovered_at: 0.0,
+            unavailability_logged: false,
+            has_counter: settings.has_counter,
+            timeout: settings.counter_timeout,
+            fast_reply: waits.fold(f64::INFINITY, f64::min) * FAST_REPLY_FRACTION,
+        }
+    }
+
+    pub(crate) fn has_counter(&self) -> bool {
+        self.has_counter
+    }
+
+    /// Returns the fraction of the wanted calls that the counter keeps up with.
+    pub(crate) fn call_ratio(&self) -> f64 {
+        self.call_ratio
+    }
+
+    /// Returns when the counter's last unavailability ended.
+    pub(crate) fn recovered_at(&self) -> Millis {
+        self.recovered_at
+    }
+
+    pub(crate) fn none_in_flight(&self) -> bool {
+        self.tenant_by_key.is_empty()
+    }
+
+    /// Returns whether no further call fits beside those in flight.
+    pub(crate) fn is_full(&self) -> bool {
+        self.tenant_by_key.len() as f64 >= (MAX_CALLS_IN_FLIGHT * self.call_ratio).max(1.0)
+    }
+
+    /// Returns whether too many calls have failed for too long.
+    pub(crate) fn is_unavailable(&self, now: Millis) -> bool {
+        let silence = now - self.last_reply_at;
+        self.consecutive_failures >= UNAVAILABLE_AFTER_FAILURES
+            && silence > self.timeout * UNAVAILABLE_AFTER_TIMEOUTS
+    }
+
+    /// Notes a call for a tenant.
+    pub(crate) fn started(&mut self, key: u64, tenant: Name) {
+        self.tenant_by_key.insert(key, tenant);
+    }
+
+    /// Notes the end of a call, and returns its tenant.
+    pub(crate) fn ended(&mut self, key: u64, result: CounterResult, latency: Millis) -> Option<Name> {
+        let tenant = self.tenant_by_key.remove(&key)?;
+        let slowness =
+            if matches!(result, CounterResult::Total(_)) { latency / self.fast_reply } else { f64::INFINITY };
+        let step = CALL_RATIO_STEP * (1.0 - slowness).max(-2.0);
+        self.call_ratio = (self.call_ratio * (1.0 + step)).clamp(MIN_CALL_RATIO, 1.0);
+        Some(tenant)
+    }
+
+    /// Notes a call that returned a total.
+    pub(crate) fn record_reply(&mut self, now: Millis) -> Option<AvailabilityChange> {
+        let recovered = std::mem::take(&mut self.unavailability_logged);
+        if recovered {
+            self.recovered_at = now;
+        }
+        self.consecutive_failures = 0;
+        self.last_reply_at = now;
+        recovered.then_some(AvailabilityChange::Recovered)
+    }
+
+    /// Notes a call that returned no total. `unusable` tells that the counter cannot be used for another
+    /// reason.
+    pub(crate) fn record_failure(&mut self, now: Millis, unusable: bool) -> Option<AvailabilityChange> {
+        self.consecutive_failures += 1;
+        let unavailable = unusable || self.is_unavailable(now);
+        let to_be_logged = unavailable && !std::mem::replace(&mut self.unavailability_logged, true);
+        to_be_logged.then_some(AvailabilityChange::Unavailable)
+    }
+}
--- /dev/null
+++ b/policy/src/quota/gate.rs
@@ -0,0 +1,353 @@
+//! The admission gate over all tenants: decides for requests, and takes in the replies of the counter.
+
+use super::counter_call::{CounterCall, needs_previous_total};
+use super::counter_calls::{AvailabilityChange, CounterCalls};
+use super::fallback::{FallbackAllowance, FallbackStart};
+use super::lease::{BLOCK_FRACTION, IncrementReply};
+use super::low_quota::{LowQuotaTenants, LowQuotaTotal};
+use super::tenant::{PendingCall, Tenant, TenantArrival};
+use super::window::{Now, WindowClock};
+use super::{IDLE_PERIODS, QuotaDecision, QuotaReading, QuotaRequest, QuotaSource, ReplyOutcome, ceiling};
+use crate::random::Random;
+use crate::{Action, CounterResult, FleetTime, Millis, Name, QuotaPlan, RequestId, Settings};
+use std::collections::BTreeMap;
+
+/// The least units that are reported or returned on their own.
+const MIN_REPORTED_UNITS: f64 = 1.0;
+
+/// The admission gate of one gateway.
+#[derive(Debug)]
+pub(crate) struct QuotaGate {
+    plans: Vec<QuotaPlan>,
+    tenants: BTreeMap<Name, Tenant>,
+    low_quota: LowQuotaTenants,
+    calls: CounterCalls,
+    clock: WindowClock,
+    /// No more requests arrive: leased units are returned.
+    draining: bool,
+}
+
+impl QuotaGate {
+    pub(crate) fn new(settings: &Settings) -> Self {
+        Self {
+            plans: settings.plans.iter().map(ceiling::effective_plan).collect(),
+            tenants: BTreeMap::new(),
+            low_quota: LowQuotaTenants::new(settings.plans.len(), settings.gossip),
+            calls: CounterCalls::new(settings),
+            clock: WindowClock::new(),
+            draining: false,
+        }
+    }
+
+    /// Notes a request that arrived.
+    pub(crate) fn record_arrival(&mut self, request: &QuotaRequest, arrival: &TenantArrival, now: Millis) {
+        let plan = &self.plans[request.plan];
+        let tenant = self
+            .tenants
+            .entry(request.tenant.clone())
+            .or_insert_with(|| Tenant::new(&request.tenant, request.plan, ceiling::initial_quota(plan), now));
+        tenant.record_arrival(arrival, request.units, plan, now);
+    }
+
+    /// Notes what the host knows of the fleet's clock by now.
+    pub(crate) fn update_fleet_time(&mut self, time: FleetTime, now: Millis) {
+        self.clock.update(time, now);
+    }
+
+    /// Notes a message from another gateway.
+    pub(crate) fn record_gossip(&mut self, bytes: &[u8], now: Millis) {
+        self.low_quota.record_gossip(bytes, now);
+    }
+
+    /// Notes that no more requests arrive.
+    pub(crate) fn start_drain(&mut self) {
+        self.draining = true;
+    }
+
+    // ---- Decisions ----
+
+    /// Decides for a request, or returns `None` if its tenant is unknown.
+    pub(crate) fn admit(
+        &mut self, request: &QuotaRequest, now: Millis, random: &mut Random, actions: &mut Vec<Action>,
+    ) -> Option<(QuotaDecision, QuotaSource)> {
+        let unavailable = self.is_counter_unavailable(now);
+        let now = self.clock.now(now);
+        let tenant = self.tenants.get_mut(&request.tenant)?;
+        let share = tenant.share(&self.plans);
+        tenant.lease.advance(now, share);
+        let available = tenant.lease.available();
+        let decision = if share.plan.rate <= 0.0 {
+            QuotaDecision::Admit(QuotaReading::Known)
+        } else if share.is_low_quota() {
+            self.admit_low_quota(request, now.local, random)
+        } else if tenant.waiting.is_empty() && tenant.lease.spend(request.units) {
+            if !unavailable && tenant.lease.needs_renewal(&tenant.demand, share) {
+                self.request_block(&request.tenant, now.local, actions);
+            }
+            QuotaDecision::Admit(QuotaReading::Known)
+        } else if unavailable {
+            let decision = self.admit_from_fallback(request, now.local, random)?;
+            return Some((decision, QuotaSource::Fallback));
+        } else if tenant.lease.has_reading() && available < request.units {
+            let missing_units = request.units - available;
+            QuotaDecision::Reject { missing_units, refill_rate: share.plan.rate }
+        } else {
+            tenant.wait(request);
+            QuotaDecision::Wait
+        };
+        Some((decision, QuotaSource::Counter))
+    }
+
+    /// Decides for a request of a low-quota tenant. A fresh reading decides; otherwise the counter is read,
+    /// as far as it keeps up, and the cached ratio decides for the rest. Clients' retries are not new demand.
+    fn admit_low_quota(&mut self, request: &QuotaRequest, now: Millis, random: &mut Random) -> QuotaDecision {
+        let sampled = random.unit() < self.calls.call_ratio();
+        // While the counter cannot keep up with all calls, those for retries are left out: they report no
+        // demand.
+        let wants_call = if request.client_retry { self.calls.call_ratio() >= 1.0 } else { sampled };
+        let may_call = self.is_counter_usable() && wants_call;
+        let Some(tenant) = self.tenants.get_mut(&request.tenant) else { return QuotaDecision::Wait };
+        let fresh = self.low_quota.is_fresh(tenant.salt, tenant.share(&self.plans), now);
+        let call_pending = tenant.pending_call.is_some();
+        if (fresh || call_pending) && !request.client_retry {
+            tenant.lease.add_unreported(request.units);
+        }
+        if call_pending || may_call && !fresh {
+            tenant.wait(request);
+            return QuotaDecision::Wait;
+        }
+        self.admit_by_ratio(request, now, random).unwrap_or(QuotaDecision::Wait)
+    }
+
+    /// Decides for a request of a low-quota tenant by the cached admit ratio, or returns `None` if its tenant
+    /// is unknown.
+    pub(crate) fn admit_by_ratio(
+        &mut self, request: &QuotaRequest, now: Millis, random: &mut Random,
+    ) -> Option<QuotaDecision> {
+        let draw = random.unit();
+        let tenant = self.tenants.get(&request.tenant)?;
+        let share = tenant.share(&self.plans);
+        let decision =
+            self.low_quota.decide(tenant.salt, tenant.plan, request.client_retry, share, draw, now);
+        Some(if decision.admitted {
+            QuotaDecision::Admit(decision.reading)
+        } else {
+            QuotaDecision::Reject { missing_units: request.units, refill_rate: share.plan.rate }
+        })
+    }
+
+    /// Decides for a request while the counter does not reply, or returns `None` if its tenant is unknown.
+    pub(crate) fn admit_from_fallback(
+        &mut self, request: &QuotaRequest, now: Millis, random: &mut Random,
+    ) -> Option<QuotaDecision> {
+        let converging = self.clock.is_converging();
+        let window_now = self.clock.now(now);
+        let tenant = self.tenants.get_mut(&request.tenant)?;
+        let share = tenant.share_of(&self.plans[request.plan]);
+        tenant.stop_waiting(request.id);
+        if share.is_low_quota() {
+            return self.admit_by_ratio(request, now, random);
+        }
+        tenant.lease.advance(window_now, share);
+        let remaining = tenant.lease.remaining();
+        let start = if converging { FallbackStart::Empty } else { FallbackStart::LastReading { remaining } };
+        let fallback = tenant.fallback.get_or_insert_with(|| FallbackAllowance::new(start, share, now));
+        if fallback.spend(request.units, share, now) {
+            tenant.lease.use_unleased(request.units);
+            return Some(QuotaDecision::Admit(QuotaReading::Known));
+        }
+        let missing_units = request.units - fallback.units;
+        Some(QuotaDecision::Reject { missing_units, refill_rate: share.plan.rate / share.gateways })
+    }
+
+    // ---- Requests in progress ----
+
+    /// Returns whether a tenant may have another attempt in flight.
+    pub(crate) fn has_capacity(&self, tenant: &Name, max_in_flight: u32) -> bool {
+        max_in_flight == 0 || self.tenants.get(tenant).is_none_or(|tenant| tenant.has_capacity(max_in_flight))
+    }
+
+    /// Notes that an attempt is forwarded.
+    pub(crate) fn attempt_forwarded(&mut self, tenant: &Name) {
+        if let Some(tenant) = self.tenants.get_mut(tenant) {
+            tenant.in_flight += 1;
+        }
+    }
+
+    /// Notes that an attempt is no longer in flight.
+    pub(crate) fn attempt_ended(&mut self, tenant: &Name) {
+        if let Some(tenant) = self.tenants.get_mut(tenant) {
+            tenant.in_flight = tenant.in_flight.saturating_sub(1);
+        }
+    }
+
+    /// Corrects the use of a request by what it turned out to be.
+    pub(crate) fn settle_usage(&mut self, tenant: &Name, units: f64, actual_units: f64) {
+        if let Some(tenant) = self.tenants.get_mut(tenant) {
+            tenant.lease.use_unleased(actual_units - units);
+        }
+    }
+
+    /// Takes back the units of a request that was admitted but not forwarded.
+    pub(crate) fn refund(&mut self, tenant: &Name, units: f64) {
+        if let Some(tenant) = self.tenants.get_mut(tenant) {
+            tenant.lease.refund(units);
+        }
+    }
+
+    /// Notes that a request no longer waits for a reply.
+    pub(crate) fn stop_waiting(&mut self, tenant: &Name, id: RequestId) {
+        if let Some(tenant) = self.tenants.get_mut(tenant) {
+            tenant.stop_waiting(id);
+        }
+    }
+
+    // ---- The counter ----
+
+    fn is_counter_usable(&self) -> bool {
+        self.calls.has_counter() && !self.clock.is_converging()
+    }
+
+    fn is_counter_unavailable(&self, now: Millis) -> bool {
+        !self.is_counter_usable() || self.calls.is_unavailable(now)
+    }
+
+    /// Polls the counter for a tenant while it is unavailable, one call at a time and as far as back-pressure
+    /// allows.
+    pub(crate) fn poll_counter(
+        &mut self, tenant: &Name, now: Millis, random: &mut Random, actions: &mut Vec<Action>,
+    ) {
+        if self.calls.none_in_flight() && random.unit() < self.calls.call_ratio() {
+            self.request_block(tenant, now, actions);
+        }
+    }
+
+    /// Adds a block to a tenant's count. There is one call in flight for each tenant, and a bound on all of
+    /// them.
+    pub(crate) fn request_block(&mut self, name: &Name, now: Millis, actions: &mut Vec<Action>) {
+        let may_call = self.is_counter_usable() && !self.clock.is_pending() && !self.calls.is_full();
+        let now = self.clock.now(now);
+        let Some(tenant) = self.tenants.get_mut(name) else { return };
+        if tenant.pending_call.is_some() || !may_call {
+            return;
+        }
+        let share = tenant.share(&self.plans);
+        tenant.lease.advance(now, share);
+        let joined = self.clock.joined_within(now.local, share.refill_period());
+        let call = if joined && needs_previous_total(tenant, share) {
+            CounterCall::read_previous(tenant, share)
+        } else {
+            CounterCall::increment(tenant, share, self.draining, self.calls.call_ratio(), now)
+        };
+        self.calls.started(call.key, name.clone());
+        actions.push(Action::IncrementCounter { key: call.key, amount: call.amount, ttl: call.ttl });
+    }
+
+    /// Takes in how a counter call ended.
+    pub(crate) fn on_counter_reply(
+        &mut self, key: u64, result: CounterResult, latency: Millis, now: Millis, actions: &mut Vec<Action>,
+    ) -> ReplyOutcome {
+        let Some(name) = self.calls.ended(key, result, latency) else { return ReplyOutcome::Nothing };
+        let CounterResult::Total(total) = result else {
+            return self.on_call_failed(&name, result, now, actions);
+        };
+        if self.calls.record_reply(now) == Some(AvailabilityChange::Recovered) {
+            actions.push(Action::Log("counter available again".into()));
+        }
+        self.on_total(&name, total, now, actions)
+    }
+
+    fn on_total(&mut self, name: &Name, total: f64, now: Millis, actions: &mut Vec<Action>) -> ReplyOutcome {
+        let window_now = self.clock.now(now);
+        let Some(tenant) = self.tenants.get_mut(name) else { return ReplyOutcome::Nothing };
+        let share = tenant.share(&self.plans);
+        let (window, block, unreported) = match tenant.pending_call.take() {
+            None => return ReplyOutcome::Nothing,
+            Some(PendingCall::ReadPrevious { window }) => {
+                tenant.lease.set_previous(window, total);
+                self.request_block(name, now, actions);
+                return ReplyOutcome::Nothing;
+            }
+            Some(PendingCall::Increment { window, block, unreported }) => (window, block, unreported),
+        };
+        if share.is_low_quota() {
+            let call_ratio = self.calls.call_ratio();
+            let reply = LowQuotaTotal { window, total, block, call_ratio };
+            return self.on_low_quota_total(name, reply, window_now, actions);
+        }
+        let fallback = tenant.fallback.take();
+        let reply = IncrementReply { window, block, unreported, total };
+        tenant.lease.apply_reply(reply, fallback, self.calls.recovered_at(), window_now, share);
+        ReplyOutcome::LeaseUpdated {
+            tenant: name.clone(),
+            waiting: std::mem::take(&mut tenant.waiting),
+            returns_units: tenant.lease.unreported() <= -MIN_REPORTED_UNITS,
+        }
+    }
+
+    fn on_low_quota_total(
+        &mut self, name: &Name, reply: LowQuotaTotal, now: Now, actions: &mut Vec<Action>,
+    ) -> ReplyOutcome {
+        let Some(tenant) = self.tenants.get_mut(name) else { return ReplyOutcome::Nothing };
+        let share = tenant.share(&self.plans);
+        let (ratio, gossip) = self.low_quota.record_total(tenant.salt, reply, share, now);
+        actions.extend(gossip);
+        let waiting = std::mem::take(&mut tenant.waiting);
+        if tenant.lease.record_reading() {
+            let client_retry = waiting.iter().any(|request| request.client_retry);
+            self.low_quota.record_first_reading(tenant.plan, client_retry, ratio);
+        }
+        ReplyOutcome::RatioUpdated { waiting }
+    }
+
+    /// Without a total the fallback decides for the requests that wait, and a block that may have been added
+    /// is lost.
+    fn on_call_failed(
+        &mut self, name: &Name, result: CounterResult, now: Millis, actions: &mut Vec<Action>,
+    ) -> ReplyOutcome {
+        let unusable = !self.is_counter_usable();
+        if self.calls.record_failure(now, unusable) == Some(AvailabilityChange::Unavailable) {
+            actions.push(Action::Log("counter unavailable: spending leases and fallback allowances".into()));
+        }
+        let Some(tenant) = self.tenants.get_mut(name) else { return ReplyOutcome::Nothing };
+        if let Some(PendingCall::Increment { unreported, .. }) = tenant.pending_call.take() {
+            let may_be_added = result == CounterResult::Unknown;
+            tenant.lease.add_unreported(if may_be_added { unreported.max(0.0) } else { unreported });
+        }
+        ReplyOutcome::Failed { waiting: std::mem::take(&mut tenant.waiting) }
+    }
+
+    // ---- Maintenance ----
+
+    /// Returns unused leases, reports usage, and drops idle tenants.
+    pub(crate) fn maintain(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        self.low_quota.drop_old(now);
+        let window_now = self.clock.now(now);
+        let mut to_report = Vec::new();
+        self.tenants.retain(|name, tenant| {
+            let share = tenant.share(&self.plans);
+            let refill_period = share.refill_period();
+            let idle = now - tenant.demand.updated_at;
+            tenant.lease.advance(window_now, share);
+            let unused = tenant.lease.is_scarce(share) && idle > refill_period * BLOCK_FRACTION;
+            if (unused || self.draining) && tenant.lease.leased() >= MIN_REPORTED_UNITS {
+                tenant.lease.return_lease();
+            }
+            let least_report = if self.draining {
+                MIN_REPORTED_UNITS
+            } else {
+                (share.plan.burst * BLOCK_FRACTION).max(MIN_REPORTED_UNITS)
+            };
+            let has_report = !share.is_low_quota() && tenant.lease.unreported().abs() >= least_report;
+            if tenant.pending_call.is_none() && (has_report || !tenant.waiting.is_empty()) {
+                to_report.push(name.clone());
+            }
+            tenant.is_busy() || idle < refill_period * IDLE_PERIODS
+        });
+        if !self.is_counter_unavailable(now) {
+            for name in to_report {
+                self.request_block(&name, now, actions);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/policy/src/quota/low_quota.rs
@@ -0,0 +1,158 @@
+//! Tenants whose quota leaves a gateway less than a unit.
+//!
+//! Blocks of such a quota would serve no request. Instead each tenant's demand over all gateways is counted
+//! as a decaying sum ([`decayed_count`](super::decayed_count)), and each gateway admits the fraction of
+//! requests that the total says fits. Between readings the fraction is cached, and decays to what is typical
+//! of the tenant's plan.
+
+use super::decayed_count::{admit_ratio, decayed};
+use super::share::QuotaShare;
+use super::window::{Now, WindowNumber};
+use super::{MAX_RETENTION, QuotaReading};
+use crate::settings::PlanIndex;
+use crate::{Action, Millis};
+use std::collections::BTreeMap;
+
+/// A reading is fresh for this fraction of a refill period; demand in between is reported with the next call.
+const FRESH_FRACTION: f64 = 0.25;
+/// The exponent of the admit ratio: more than 1, as no count includes all demand.
+const ADMIT_RATIO_EXPONENT: f64 = 2.5;
+/// A cached admit ratio decays to that of the plan over this many refill periods.
+const RATIO_DECAY_PERIODS: f64 = 4.0;
+/// The weight of the newest first reading in a plan's typical admit ratio.
+const NEWEST_RATIO_WEIGHT: f64 = 0.03;
+/// Gateways that may gossip report an admit ratio below this, and again when it falls by this factor.
+const GOSSIP_THRESHOLD: f64 = 0.7;
+/// The admit ratio is sent in one byte.
+const GOSSIP_RATIO_SCALE: f64 = 255.0;
+/// The position of the admit ratio in a message; the salt before it leaves this byte free.
+const GOSSIP_RATIO_BYTE: usize = 7;
+
+/// The fraction of a tenant's requests that fits its quota, as last read here or by another gateway.
+#[derive(Clone, Copy, Debug, Default)]
+struct CachedAdmitRatio {
+    ratio: f64,
+    updated_at: Millis,
+}
+
+/// The typical admit ratio of a plan's tenants at their first reading.
+#[derive(Clone, Copy, Debug)]
+struct PlanAdmitRatio {
+    first_attempts: f64,
+    client_retries: f64,
+}
+
+impl Default for PlanAdmitRatio {
+    fn default() -> Self {
+        Self { first_attempts: 1.0, client_retries: 0.5 }
+    }
+}
+
+/// A total of a low-quota tenant's count.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct LowQuotaTotal {
+    pub(super) window: WindowNumber,
+    pub(super) total: f64,
+    /// What the call itself added, and by which ratio of calls it was multiplied.
+    pub(super) block: f64,
+    pub(super) call_ratio: f64,
+}
+
+/// Whether a request may be admitted without a reading of its own.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct RatioDecision {
+    pub(super) admitted: bool,
+    pub(super) reading: QuotaReading,
+}
+
+/// The admit ratios of low-quota tenants.
+#[derive(Debug)]
+pub(super) struct LowQuotaTenants {
+    by_plan: Vec<PlanAdmitRatio>,
+    /// By the hash of the tenant's name.
+    by_salt: BTreeMap<u64, CachedAdmitRatio>,
+    gossip: bool,
+}
+
+impl LowQuotaTenants {
+    pub(super) fn new(plans: usize, gossip: bool) -> Self {
+        Self { by_plan: vec![PlanAdmitRatio::default(); plans], by_salt: BTreeMap::new(), gossip }
+    }
+
+    /// Returns whether the last reading of a tenant is fresh.
+    pub(super) fn is_fresh(&self, salt: u64, share: QuotaShare<'_>, now: Millis) -> bool {
+        let freshness = share.refill_period() * FRESH_FRACTION;
+        self.by_salt.get(&salt).is_some_and(|cached| now - cached.updated_at < freshness)
+    }
+
+    /// Decides for a request by the cached ratio, which decays to that of the plan. Of a tenant without a
+    /// reading all is admitted while that gains more than it costs. A client's retries are admitted only
+    /// while all requests fit: otherwise rejected requests would return until they are admitted.
+    pub(super) fn decide(
+        &self, salt: u64, plan: PlanIndex, client_retry: bool, share: QuotaShare<'_>, draw: f64, now: Millis,
+    ) -> RatioDecision {
+        let typical = self.typical_ratio(plan, client_retry, share);
+        let cached = self.by_salt.get(&salt);
+        let CachedAdmitRatio { ratio, updated_at } = cached.copied().unwrap_or_default();
+        let ratio = if client_retry { ratio.floor() } else { ratio };
+        let age = (now - updated_at) / share.refill_period();
+        let admitted = draw < typical + (-age / RATIO_DECAY_PERIODS).exp() * (ratio - typical);
+        let reading = if cached.is_some() { QuotaReading::Known } else { QuotaReading::Missing };
+        RatioDecision { admitted, reading }
+    }
+
+    fn typical_ratio(&self, plan: PlanIndex, client_retry: bool, share: QuotaShare<'_>) -> f64 {
+        let typical = self.by_plan[plan];
+        if client_retry {
+            return typical.client_retries;
+        }
+        let ratio = typical.first_attempts;
+        let cost = share.plan.over_quota_cost - share.plan.over_quota_weight;
+        if ratio > (1.0 - ratio) * cost { 1.0 } else { ratio }
+    }
+
+    /// Caches the admit ratio that a total tells. Returns the ratio, and the message to other gateways if
+    /// there is one to send.
+    pub(super) fn record_total(
+        &mut self, salt: u64, reply: LowQuotaTotal, share: QuotaShare<'_>, now: Now,
+    ) -> (f64, Option<Action>) {
+        let refill_period = share.refill_period();
+        let elapsed = share.schedule().elapsed(reply.window, now);
+        // A request that weighs more than itself stands for others that were not counted: that is not held
+        // against it.
+        let extrapolated = reply.block - reply.block * reply.call_ratio;
+        let demand = (decayed(reply.total, elapsed, refill_period) - extrapolated).max(0.0);
+        let ratio = admit_ratio(demand, share.plan.burst, ADMIT_RATIO_EXPONENT);
+        let before = self.by_salt.insert(salt, CachedAdmitRatio { ratio, updated_at: now.local });
+        let before = before.unwrap_or(CachedAdmitRatio { ratio: 1.0, updated_at: f64::NEG_INFINITY });
+        let changed =
+            ratio < before.ratio * GOSSIP_THRESHOLD || now.local > before.updated_at + refill_period;
+        let report = self.gossip && ratio < GOSSIP_THRESHOLD && changed;
+        (ratio, report.then(|| Action::Gossip { bytes: encode(salt, ratio) }))
+    }
+
+    /// Updates the typical ratio of a plan with the first reading of one of its tenants.
+    pub(super) fn record_first_reading(&mut self, plan: PlanIndex, client_retry: bool, ratio: f64) {
+        let typical = &mut self.by_plan[plan];
+        let typical = if client_retry { &mut typical.client_retries } else { &mut typical.first_attempts };
+        *typical += NEWEST_RATIO_WEIGHT * (ratio - *typical);
+    }
+
+    /// Caches an admit ratio that another gateway reports; messages of another form are ignored.
+    pub(super) fn record_gossip(&mut self, bytes: &[u8], now: Millis) {
+        let Ok(mut bytes) = <[u8; 8]>::try_from(bytes) else { return };
+        let ratio = f64::from(std::mem::take(&mut bytes[GOSSIP_RATIO_BYTE])) / GOSSIP_RATIO_SCALE;
+        self.by_salt.insert(u64::from_le_bytes(bytes), CachedAdmitRatio { ratio, updated_at: now });
+    }
+
+    /// Drops cached ratios that are too old to matter.
+    pub(super) fn drop_old(&mut self, now: Millis) {
+        self.by_salt.retain(|_, cached| now - cached.updated_at < MAX_RETENTION);
+    }
+}
+
+fn encode(salt: u64, ratio: f64) -> Vec<u8> {
+    let mut bytes = salt.to_le_bytes();
+    bytes[GOSSIP_RATIO_BYTE] = (ratio * GOSSIP_RATIO_SCALE) as u8;
+    bytes.to_vec()
+}
--- /dev/null
+++ b/policy/src/quota/tenant.rs
@@ -0,0 +1,127 @@
+//! One tenant as this gateway knows it.
+
+use super::QuotaRequest;
+use super::demand::Demand;
+use super::fallback::FallbackAllowance;
+use super::lease::LeaseCache;
+use super::share::{QuotaShare, refill_period};
+use super::window::WindowNumber;
+use crate::hash::hash;
+use crate::settings::PlanIndex;
+use crate::{Millis, QuotaPlan, RequestId};
+use std::collections::VecDeque;
+
+/// Where this gateway stands among those that serve a tenant, as a request tells it.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct TenantArrival {
+    pub(crate) gateway_index: u32,
+    pub(crate) gateway_count: u32,
+    pub(crate) first_gateway: u32,
+    pub(crate) gateways_per_tenant: u32,
+}
+
+/// A request that waits for a reply of the counter.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct WaitingRequest {
+    pub(crate) id: RequestId,
+    pub(crate) units: f64,
+    pub(crate) client_retry: bool,
+}
+
+impl From<&QuotaRequest> for WaitingRequest {
+    fn from(request: &QuotaRequest) -> Self {
+        Self { id: request.id, units: request.units, client_retry: request.client_retry }
+    }
+}
+
+/// A counter call without a reply.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum PendingCall {
+    /// Reads the total of the window before a tenant was known.
+    ReadPrevious { window: WindowNumber },
+    /// Adds a lease block and the unreported usage.
+    Increment { window: WindowNumber, block: f64, unreported: f64 },
+}
+
+/// One tenant.
+#[derive(Debug)]
+pub(crate) struct Tenant {
+    /// The plan of its first request.
+    pub(crate) plan: PlanIndex,
+    /// How many gateways serve it.
+    gateways: f64,
+    /// The position of this gateway among them.
+    position: u32,
+    /// A hash of the name.
+    pub(crate) salt: u64,
+    pub(crate) lease: LeaseCache,
+    pub(crate) demand: Demand,
+    /// The allowance spent while the counter is unavailable.
+    pub(crate) fallback: Option<FallbackAllowance>,
+    pub(crate) pending_call: Option<PendingCall>,
+    pub(crate) waiting: VecDeque<WaitingRequest>,
+    /// Attempts in flight.
+    pub(crate) in_flight: u32,
+}
+
+impl Tenant {
+    /// Returns a tenant without a reading, which is taken to have `initial_quota` left.
+    pub(crate) fn new(name: &str, plan: PlanIndex, initial_quota: f64, now: Millis) -> Self {
+        Self {
+            plan,
+            gateways: 0.0,
+            position: 0,
+            salt: hash(name) >> 8,
+            lease: LeaseCache::new(initial_quota, now),
+            demand: Demand::new(now),
+            fallback: None,
+            pending_call: None,
+            waiting: VecDeque::new(),
+            in_flight: 0,
+        }
+    }
+
+    /// Notes a request that arrived: which gateways serve the tenant, and its demand.
+    pub(crate) fn record_arrival(
+        &mut self, arrival: &TenantArrival, units: f64, plan: &QuotaPlan, now: Millis,
+    ) {
+        let gateway_count = arrival.gateway_count;
+        self.gateways = f64::from(arrival.gateways_per_tenant.clamp(1, gateway_count));
+        let distance = arrival.gateway_index + gateway_count - arrival.first_gateway % gateway_count;
+        self.position = distance % gateway_count;
+        self.demand.record(units, refill_period(plan), now);
+    }
+
+    /// Returns the tenant's quota by the plan of its first request.
+    pub(crate) fn share<'a>(&self, plans: &'a [QuotaPlan]) -> QuotaShare<'a> {
+        self.share_of(&plans[self.plan])
+    }
+
+    /// Returns the tenant's quota by a given plan.
+    pub(crate) fn share_of<'a>(&self, plan: &'a QuotaPlan) -> QuotaShare<'a> {
+        QuotaShare::new(plan, self.gateways, self.salt)
+    }
+
+    /// Returns whether another attempt fits under a limit of attempts in flight at all gateways together. The
+    /// gateways first in the tenant's order take what does not divide evenly.
+    pub(crate) fn has_capacity(&self, max_in_flight: u32) -> bool {
+        let gateways = self.gateways as u32;
+        let remainder = u32::from(self.position < max_in_flight % gateways);
+        self.in_flight < (max_in_flight / gateways + remainder).max(1)
+    }
+
+    /// Adds a request to those that wait for a reply.
+    pub(crate) fn wait(&mut self, request: &QuotaRequest) {
+        self.waiting.push_back(request.into());
+    }
+
+    /// Removes a request from those that wait for a reply.
+    pub(crate) fn stop_waiting(&mut self, id: RequestId) {
+        self.waiting.retain(|waiting| waiting.id != id);
+    }
+
+    /// Returns whether something of the tenant is still in progress.
+    pub(crate) fn is_busy(&self) -> bool {
+        self.pending_call.is_some() || self.in_flight > 0 || !self.waiting.is_empty()
+    }
+}
--- /dev/null
+++ b/policy/src/quota/window.rs
@@ -0,0 +1,97 @@
+//! Quota windows: the clock by which they are told, their numbers, and the counter keys that stand for them.
+
+use crate::fleet_clock::CYCLE;
+use crate::hash::mix;
+use crate::random::WEYL_STEP;
+use crate::{FleetTime, Millis};
+
+/// The number of a window, counted from the beginning of the fleet clock's cycle.
+pub(crate) type WindowNumber = u64;
+
+/// The number of different offsets by which the windows of different tenants are staggered.
+const STAGGER_STEPS: u64 = 1024;
+
+/// The present time, on this gateway's clock and on the one that the fleet shares.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Now {
+    pub(crate) local: Millis,
+    /// The time by which windows are told.
+    pub(crate) fleet: Millis,
+}
+
+/// What this gateway knows of the fleet's clock.
+#[derive(Debug)]
+pub(crate) struct WindowClock {
+    fleet_time: FleetTime,
+    /// When this gateway synchronized with a fleet that had been counting before.
+    joined_at: Millis,
+}
+
+impl WindowClock {
+    pub(crate) fn new() -> Self {
+        Self { fleet_time: FleetTime::default(), joined_at: f64::NEG_INFINITY }
+    }
+
+    /// Notes what the host knows of the fleet's clock by now.
+    pub(crate) fn update(&mut self, fleet_time: FleetTime, local: Millis) {
+        let before = std::mem::replace(&mut self.fleet_time, fleet_time);
+        if before == FleetTime::Converging && fleet_time != before {
+            self.joined_at = local;
+        }
+    }
+
+    pub(crate) fn now(&self, local: Millis) -> Now {
+        let offset = if let FleetTime::Synchronized { offset } = self.fleet_time { offset } else { 0.0 };
+        Now { local, fleet: (local + offset).rem_euclid(CYCLE) }
+    }
+
+    /// Returns whether there is a fleet whose clock is not known well enough yet to name counter keys.
+    pub(crate) fn is_converging(&self) -> bool {
+        self.fleet_time == FleetTime::Converging
+    }
+
+    /// Returns whether the fleet's clock is about to be known.
+    pub(crate) fn is_pending(&self) -> bool {
+        self.fleet_time == FleetTime::Pending
+    }
+
+    /// Returns whether this gateway synchronized with a running fleet less than `period` ago.
+    pub(crate) fn joined_within(&self, local: Millis, period: Millis) -> bool {
+        local - self.joined_at < period
+    }
+}
+
+/// The windows of one tenant. They are staggered by a hash of its name, so that tenants do not all renew at
+/// once.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct WindowSchedule {
+    length: Millis,
+    stagger: Millis,
+}
+
+impl WindowSchedule {
+    pub(crate) fn new(length: Millis, salt: u64) -> Self {
+        let stagger = (salt % STAGGER_STEPS) as f64 / STAGGER_STEPS as f64 * length;
+        Self { length, stagger }
+    }
+
+    /// Returns how long a window lasts.
+    pub(crate) fn length(&self) -> Millis {
+        self.length
+    }
+
+    /// Returns the present window.
+    pub(crate) fn window_at(&self, now: Now) -> WindowNumber {
+        ((now.fleet + self.stagger) / self.length).floor() as WindowNumber
+    }
+
+    /// Returns how long ago a window began.
+    pub(crate) fn elapsed(&self, window: WindowNumber, now: Now) -> Millis {
+        (now.fleet - (window as f64 * self.length - self.stagger)).rem_euclid(CYCLE)
+    }
+}
+
+/// Returns the counter key of a tenant's window, below 2^63 and the same at all gateways.
+pub(crate) fn counter_key(salt: u64, window: WindowNumber) -> u64 {
+    mix(salt ^ window.wrapping_mul(WEYL_STEP)) >> 1
+}
--- a/policy/src/settings.rs
+++ b/policy/src/settings.rs
@@ -5,12 +5,18 @@
 
 use crate::{Millis, Name};
 
+/// The index of a class in [`Settings::classes`].
+pub(crate) type ClassIndex = usize;
+/// The index of a plan in [`Settings::plans`].
+pub(crate) type PlanIndex = usize;
+
 /// What may be done with a request whose earlier attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// May be repeated at any time.
     Idempotent,
-    /// Carries an idempotency key: endpoints that share a [`DedupScope`] drop a repeat within the dedup window.
+    /// Carries an idempotency key: endpoints that share a [`DedupScope`] drop a repeat within the dedup
+    /// window.
     WithKey,
     /// Must never run twice.
     NonIdempotent,
--- a/policy/src/subset.rs
+++ b/policy/src/subset.rs
@@ -1,210 +1,245 @@
 //! Deterministic subsetting: which endpoints one of many gateways works with.
 //!
-//! The problem: if each of many gateways used each endpoint, connections, handshakes and cold starts would
-//! cost the fleet gateways times endpoints; if each drew its own by chance, some endpoints would be many
-//! gateways' and others nobody's. So the subset is computed, from the gateway's number and the list alone,
-//! and needs no talk.
+//! If each of many gateways used each endpoint, connections, handshakes and cold starts would cost the fleet
+//! gateways times endpoints. If each drew a subset at random, some endpoints would be in many subsets and
+//! others in none. So the subset is computed from the gateway's index and the endpoint list alone, without
+//! coordination.
 //!
-//! Gateways are dealt into `GATEWAYS_EACH` groups. Each group has its own ring: a hash puts every endpoint
-//! into one of as many bins as the group has gateways, and a bin is one gateway's. That is rendezvous
-//! hashing with bounded loads: a bin that has more than its even part, and some slack, passes the rest on
-//! to the next. So each endpoint is in the subset of one gateway of each group, subsets are about alike in
-//! size, and an endpoint that comes or goes changes only its own bins and those that a passed-on endpoint
-//! reaches. Zones have rings of their own, so every subset holds an even part of each zone and none depends
-//! on one of them.
+//! Gateways are split into [`GATEWAYS_PER_ENDPOINT`] groups. Each group has its own ring: a hash puts every
+//! endpoint into one of as many bins as the group has gateways, and each bin belongs to one gateway. This is
+//! rendezvous hashing with bounded loads: a bin that holds more than its even part, and some slack, passes
+//! the rest on to the next. So each endpoint is in the subset of one gateway of each group, subsets are about
+//! equal in size, and an endpoint that comes or goes changes only its own bins and those that a passed-on
+//! endpoint reaches. Zones have rings of their own, so that every subset holds an even part of each zone and
+//! none depends on a single one.
 
 use crate::Name;
 use crate::hash::{hash, mix, unit};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
 
-/// So many gateways send to each endpoint, at least: the more, the less the traffic of one gateway weighs at
-/// an endpoint; the fewer, the fewer connections each endpoint holds, and the more requests share one.
-const GATEWAYS_EACH: u32 = 8;
-/// A subset has so many endpoints at least, if there are as many: what one or two of them cannot bear the
-/// others can. Where gateways are so many that bins are smaller, several bins in a row make one subset.
-const LEAST: f64 = 4.0;
-/// Bins take so much more than an even part: little, or sizes differ; some, or a change is passed on far.
-/// With this much, subsets of 5 are of 3 to 6, and a replaced endpoint is a new entry of 51 of 300 subsets
-/// where 8 would be the least.
-const SLACK: f64 = 0.02;
-/// So many further endpoints stand by for those of the subset.
-const RESERVE: usize = 16;
-
-/// The place of an endpoint in the tables of its owner.
+/// The number of gateways that send to each endpoint, at least. With more, one gateway's traffic matters less
+/// at an endpoint; with fewer, each endpoint holds fewer connections and more requests share one.
+const GATEWAYS_PER_ENDPOINT: u32 = 8;
+/// The smallest subset, if there are as many endpoints. Where bins are smaller, several consecutive ones make
+/// up one subset.
+const MIN_SUBSET_SIZE: f64 = 4.0;
+/// Bins take this fraction more than an even part. With less, sizes are more even; with more, a change is
+/// passed on less far.
+const BIN_SLACK: f64 = 0.02;
+/// The number of standby endpoints beside the subset.
+const STANDBY_SIZE: usize = 16;
+
+/// The index of an endpoint in the table of its owner.
 pub(crate) type Slot = usize;
 
-/// The endpoints of one zone that may be sent something new, in bins by their hash.
+/// The ready endpoints of one zone, in bins by their hash.
 struct Ring {
     bins: Vec<Vec<(u64, Slot)>>,
     size: usize,
-    /// From 0 to 1: where bins that take one more begin, as an even part is no whole number.
+    /// From 0 to 1: which bins take one endpoint more, as an even part is not a whole number.
     shift: f64,
 }
 
 impl Ring {
-    fn bin(&self, position: u64) -> usize {
+    fn bin_of(&self, position: u64) -> usize {
         ((u128::from(position) * self.bins.len() as u128) >> 64) as usize
     }
 
     fn insert(&mut self, position: u64, slot: Slot) {
-        let bin = self.bin(position);
+        let bin = self.bin_of(position);
         let bin = &mut self.bins[bin];
         bin.insert(bin.partition_point(|entry| *entry < (position, slot)), (position, slot));
         self.size += 1;
     }
 
     fn remove(&mut self, position: u64, slot: Slot) {
-        let bin = self.bin(position);
+        let bin = self.bin_of(position);
         let before = self.bins[bin].len();
         self.bins[bin].retain(|entry| *entry != (position, slot));
         self.size -= before - self.bins[bin].len();
     }
 
-    /// What falls to `joined` bins from `first` on, once each has passed on what it has too much.
-    fn dealt(&self, first: usize, joined: usize, to: &mut Vec<(u64, Slot)>) {
+    /// Returns how many endpoints a bin keeps at most.
+    fn capacity(&self, bin: usize) -> usize {
+        let even_part = self.size as f64 / self.bins.len() as f64 * (1.0 + BIN_SLACK);
+        let up_to = |bin: usize| (bin as f64 * even_part + self.shift) as usize;
+        up_to(bin + 1) - up_to(bin)
+    }
+
+    /// Returns how many bins before `first` pass endpoints on to it.
+    fn bins_passing_on_to(&self, first: usize) -> usize {
         let count = self.bins.len();
-        let even = self.size as f64 / count as f64 * (1.0 + SLACK);
-        let up_to = |bin: usize| (bin as f64 * even + self.shift) as usize;
-        let most = |bin: usize| up_to(bin + 1) - up_to(bin);
-        // Back from the first bin: what reaches it comes from as far as bins hold more than they take in all.
-        let (mut excess, mut largest, mut before) = (0, 0, 0);
+        let mut excess = 0;
+        let mut largest_excess = 0;
+        let mut bins = 0;
         for (step, bin) in (0..first).rev().chain((first..count).rev()).enumerate() {
-            excess += self.bins[bin].len() as i64 - most(bin) as i64;
-            if excess > largest {
-                (largest, before) = (excess, step + 1);
+            excess += self.bins[bin].len() as i64 - self.capacity(bin) as i64;
+            if excess > largest_excess {
+                largest_excess = excess;
+                bins = step + 1;
             }
         }
-        let mut carried = VecDeque::new();
+        bins
+    }
+
+    /// Appends the endpoints of `joined` consecutive bins from `first` on, once each bin has passed on its
+    /// excess.
+    fn assign(&self, first: usize, joined: usize, assigned: &mut Vec<(u64, Slot)>) {
+        let count = self.bins.len();
+        let before = self.bins_passing_on_to(first);
+        let mut passed_on = VecDeque::new();
         for step in 0..before + joined {
             let bin = (first + count - before + step) % count;
-            let (own, most) = (&self.bins[bin], most(bin));
-            let (kept, rest) = own.split_at(own.len().min(most));
-            let taken: Vec<_> = carried.drain(..carried.len().min(most - kept.len())).collect();
-            carried.extend(rest);
+            let capacity = self.capacity(bin);
+            let own = &self.bins[bin];
+            let (kept, excess) = own.split_at(own.len().min(capacity));
+            let taken: Vec<_> = passed_on.drain(..passed_on.len().min(capacity - kept.len())).collect();
+            passed_on.extend(excess);
             if step >= before {
-                to.extend(kept.iter().copied().chain(taken));
+                assigned.extend(kept.iter().copied().chain(taken));
             }
         }
     }
 
-    /// The endpoints of the bins from `first` on, all the way round.
-    fn from(&self, first: usize) -> impl Iterator<Item = Slot> {
+    /// Iterates over the endpoints of all bins, from `first` on.
+    fn iter_from(&self, first: usize) -> impl Iterator<Item = Slot> {
         let (before, after) = self.bins.split_at(first % self.bins.len());
         after.iter().chain(before).flatten().map(|(_, slot)| *slot)
     }
 }
 
-/// The subset of one gateway. It follows the list: what is told of one endpoint touches its bin alone, and
-/// what that leads to is worked out once for all that one list tells (`refresh`).
+/// The subset of one gateway.
+///
+/// It follows the endpoint list: a change of one endpoint touches its bin alone, and the consequences are
+/// computed once for all changes of a list, by [`Subset::refresh`].
 #[derive(Default)]
 pub(crate) struct Subset {
-    /// The group's number, the gateway's bin and how many bins there are.
+    /// The group of the gateway.
     group: u64,
+    /// The gateway's bin, and the number of bins of its group.
     bin: usize,
     bins: usize,
-    rings: BTreeMap<Name, Ring>,
-    cells: FxHashMap<u64, Vec<Slot>>,
+    ring_by_zone: BTreeMap<Name, Ring>,
+    slots_by_cell: FxHashMap<u64, Vec<Slot>>,
     ready: usize,
     stale: bool,
-    chosen: Vec<Slot>,
-    reserve: Vec<Slot>,
+    members: Vec<Slot>,
+    standby: Vec<Slot>,
 }
 
 impl Subset {
-    /// The subset of a gateway, by its number among all; where `whole` is set it is the whole fleet.
-    pub(crate) fn new(number: u32, gateways: u32, whole: bool) -> Self {
-        let groups = if whole { gateways.max(1) } else { GATEWAYS_EACH.min(gateways.max(1)) };
-        let group = number % groups;
-        let bins = gateways.saturating_sub(group).div_ceil(groups).max(1) as usize;
-        Self { group: group.into(), bin: (number / groups) as usize % bins, bins, ..Self::default() }
+    /// Returns the subset of the gateway with this index, one of [`GATEWAYS_PER_ENDPOINT`] for each endpoint.
+    pub(crate) fn new(gateway_index: u32, gateway_count: u32) -> Self {
+        Self::with_groups(gateway_index, gateway_count, GATEWAYS_PER_ENDPOINT.min(gateway_count.max(1)))
+    }
+
+    /// Returns a subset that holds all endpoints, for a gateway of a small fleet.
+    pub(crate) fn of_all_endpoints(gateway_index: u32, gateway_count: u32) -> Self {
+        Self::with_groups(gateway_index, gateway_count, gateway_count.max(1))
+    }
+
+    fn with_groups(gateway_index: u32, gateway_count: u32, groups: u32) -> Self {
+        let group = gateway_index % groups;
+        let bins = gateway_count.saturating_sub(group).div_ceil(groups).max(1) as usize;
+        let bin = (gateway_index / groups) as usize % bins;
+        Self { group: group.into(), bin, bins, ..Self::default() }
     }
 
-    /// Where something with this hash stands on the group's ring.
+    /// Returns where a hash stands on the group's ring.
     fn position(&self, salt: u64) -> u64 {
         mix(salt ^ mix(self.group + 1))
     }
 
-    /// An endpoint may be sent something new from now on; its salt is a hash of its name.
+    /// Adds an endpoint that is ready; its salt is a hash of its name.
     pub(crate) fn insert(&mut self, slot: Slot, salt: u64, zone: &Name, cell: u64) {
-        let (position, bins) = (self.position(salt), self.bins);
-        if !self.rings.contains_key(zone) {
+        let position = self.position(salt);
+        if !self.ring_by_zone.contains_key(zone) {
             let shift = unit(self.position(hash(zone)));
-            self.rings.insert(zone.clone(), Ring { bins: vec![Vec::new(); bins], size: 0, shift });
+            let ring = Ring { bins: vec![Vec::new(); self.bins], size: 0, shift };
+            self.ring_by_zone.insert(zone.clone(), ring);
         }
-        if let Some(ring) = self.rings.get_mut(zone) {
+        if let Some(ring) = self.ring_by_zone.get_mut(zone) {
             ring.insert(position, slot);
         }
-        self.cells.entry(cell).or_default().push(slot);
+        self.slots_by_cell.entry(cell).or_default().push(slot);
         self.ready += 1;
         self.stale = true;
     }
 
-    /// An endpoint that was inserted so may be sent nothing new any more.
+    /// Removes an endpoint that was inserted with the same salt, zone and cell.
     pub(crate) fn remove(&mut self, slot: Slot, salt: u64, zone: &Name, cell: u64) {
         let position = self.position(salt);
-        if let Some(ring) = self.rings.get_mut(zone) {
+        if let Some(ring) = self.ring_by_zone.get_mut(zone) {
             ring.remove(position, slot);
             if ring.size == 0 {
-                self.rings.remove(zone);
+                self.ring_by_zone.remove(zone);
             }
         }
-        if let Some(slots) = self.cells.get_mut(&cell) {
-            slots.retain(|s| *s != slot);
+        if let Some(slots) = self.slots_by_cell.get_mut(&cell) {
+            slots.retain(|other| *other != slot);
             if slots.is_empty() {
-                self.cells.remove(&cell);
+                self.slots_by_cell.remove(&cell);
             }
         }
         self.ready -= 1;
         self.stale = true;
     }
 
-    /// Brings the subset up to what has been told.
+    /// Computes members and standby endpoints anew, if endpoints were inserted or removed.
     pub(crate) fn refresh(&mut self) {
         if !std::mem::take(&mut self.stale) {
             return;
         }
-        let (bin, bins) = (self.bin, self.bins);
-        let joined = (LEAST * bins as f64 / self.ready.max(1) as f64).ceil() as usize;
-        let joined = joined.clamp(1, bins);
-        let mut dealt = Vec::new();
-        self.rings.values().for_each(|ring| ring.dealt(bin, joined, &mut dealt));
-        // By hash, so that neighbours here are of different zones.
-        dealt.sort_unstable();
-        self.chosen = dealt.into_iter().map(|(_, slot)| slot).collect();
-        self.reserve.clear();
-        if self.chosen.len() < self.ready {
-            let (mut chosen, each) = (self.chosen.clone(), RESERVE.div_ceil(self.rings.len()));
-            chosen.sort_unstable();
-            for ring in self.rings.values() {
-                let others = ring.from(bin).filter(|slot| chosen.binary_search(slot).is_err());
-                self.reserve.extend(others.take(each));
-            }
+        let wanted_bins = (MIN_SUBSET_SIZE * self.bins as f64 / self.ready.max(1) as f64).ceil() as usize;
+        let joined = wanted_bins.clamp(1, self.bins);
+        let mut assigned = Vec::new();
+        for ring in self.ring_by_zone.values() {
+            ring.assign(self.bin, joined, &mut assigned);
+        }
+        // Sorted by hash, so that neighbours are of different zones.
+        assigned.sort_unstable();
+        self.members = assigned.into_iter().map(|(_, slot)| slot).collect();
+        self.refresh_standby();
+    }
+
+    fn refresh_standby(&mut self) {
+        self.standby.clear();
+        if self.members.len() >= self.ready {
+            return;
+        }
+        let per_zone = STANDBY_SIZE.div_ceil(self.ring_by_zone.len());
+        let mut members = self.members.clone();
+        members.sort_unstable();
+        for ring in self.ring_by_zone.values() {
+            let others = ring.iter_from(self.bin).filter(|slot| members.binary_search(slot).is_err());
+            self.standby.extend(others.take(per_zone));
         }
     }
 
-    /// How many endpoints of the whole fleet may be sent something new.
+    /// Returns how many endpoints of the whole fleet are ready.
     pub(crate) fn ready(&self) -> usize {
         self.ready
     }
 
-    /// This gateway's own endpoints.
-    pub(crate) fn chosen(&self) -> &[Slot] {
-        &self.chosen
+    /// Returns this gateway's own endpoints.
+    pub(crate) fn members(&self) -> &[Slot] {
+        &self.members
     }
 
-    /// Those that stand by for them.
-    pub(crate) fn reserve(&self) -> &[Slot] {
-        &self.reserve
+    /// Returns the endpoints that take over where the members have no capacity.
+    pub(crate) fn standby(&self) -> &[Slot] {
+        &self.standby
     }
 
-    /// Endpoints of a zone, the gateway's own first: as many as stand by at most.
+    /// Iterates over endpoints of a zone, the gateway's own first, up to the number of standby endpoints.
     pub(crate) fn of_zone(&self, zone: &Name) -> impl Iterator<Item = Slot> {
-        self.rings.get(zone).into_iter().flat_map(|ring| ring.from(self.bin)).take(RESERVE)
+        let ring = self.ring_by_zone.get(zone).into_iter();
+        ring.flat_map(|ring| ring.iter_from(self.bin)).take(STANDBY_SIZE)
     }
 
-    /// The endpoints of a cell.
+    /// Returns the endpoints of a cell.
     pub(crate) fn of_cell(&self, cell: u64) -> &[Slot] {
-        self.cells.get(&cell).map_or(&[], Vec::as_slice)
+        self.slots_by_cell.get(&cell).map_or(&[], Vec::as_slice)
     }
 }
--- a/policy/tests/counter_silence.rs
+++ b/policy/tests/counter_silence.rs
@@ -101,7 +101,10 @@
             calls += 1;
             did.extend(silence(&mut door, name));
         }
-        lines += did.iter().filter(|a| matches!(a, Action::Log(line) if line.contains("silent"))).count();
+        lines += did
+            .iter()
+            .filter(|a| matches!(a, Action::Log(line) if line.contains("counter unavailable")))
+            .count();
         if let Some((id, at)) = sent(&did) {
             door.end(id, 0, &at, Outcome::Served);
         }
--- a/policy/tests/endpoints.rs
+++ b/policy/tests/endpoints.rs
@@ -129,13 +129,13 @@
         door.tell(Event::Timer { token: 1 });
     }
     assert_eq!(
-        door.gateway.endpoints(),
+        door.gateway.endpoint_count(),
         2,
         "the last one, and the first, from which an end is still to come"
     );
     door.end(1, 0, &at, Outcome::Served);
     door.tell(Event::Timer { token: 1 });
-    assert_eq!(door.gateway.endpoints(), 1);
+    assert_eq!(door.gateway.endpoint_count(), 1);
 }
 
 #[test]
@@ -146,7 +146,7 @@
     assert_eq!(sends(&door.end(1, 0, &at, Outcome::ConnectionReset)), 0);
     door.now += 25.0;
     assert_eq!(sends(&door.tell(Event::Timer { token: 1 })), 0, "another cell does not know the key");
-    assert_eq!(door.gateway.endpoints(), 1);
+    assert_eq!(door.gateway.endpoint_count(), 1);
     let did = door.tell(Event::EndpointDelta(vec![endpoint("a2", EndpointState::Ready, None)]));
     assert_eq!(sent(&did), Some((1, "a2".into())));
 }
