--- /dev/null
+++ b/policy/tests/common/mod.rs
@@ -0,0 +1,17 @@
+//! Helpers of the policy tests: settings, a gateway driven by scripted events, random numbers, virtual time,
+//! and a stand-in for the shared counter.
+#![allow(dead_code, unused_imports)]
+
+mod actions;
+mod counter;
+mod gateway;
+mod random;
+mod schedule;
+mod settings;
+
+pub(crate) use actions::{counter_call, forward_count, forwarded, is_failed, is_rejected};
+pub(crate) use counter::CounterStandIn;
+pub(crate) use gateway::TestGateway;
+pub(crate) use random::Random;
+pub(crate) use schedule::Schedule;
+pub(crate) use settings::{endpoint, settings};
--- a/policy/tests/fleet_clock.rs
+++ b/policy/tests/fleet_clock.rs
@@ -1,28 +1,28 @@
-//! The clock that gateways share, over whole fleets in virtual time: they agree whatever their own clocks say, also where
-//! all start at once, and the calls do not grow with the fleet.
+//! The fleet's clock over all gateways of a fleet in virtual time: they agree whatever their wall clocks say,
+//! also if all start at once, and the number of calls does not grow with the fleet.
 
-mod helper;
-use helper::*;
+mod common;
+use common::*;
 use ryefront_policy::fleet_clock::{CYCLE, FleetClock, LIFE};
 use ryefront_policy::*;
 
 const HOUR: Millis = 3_600_000.0;
-/// Virtual time begins here; each gateway's own clock is ahead by its skew.
+/// The start of virtual time; each gateway's wall clock is ahead by its skew.
 const BEGIN: Millis = 1_796_000_000_000.0;
 
 enum Step {
     Poll(usize),
-    Answer(usize, CounterResult),
+    Reply(usize, CounterResult),
 }
 
 struct Fleet {
     clocks: Vec<(FleetClock, Millis)>,
-    agenda: Agenda<Step>,
+    schedule: Schedule<Step>,
     random: Random,
-    /// The register's total and when it is forgotten.
+    /// The register's total and when it expires.
     register: (f64, Millis),
-    /// Whether the counter answers.
-    answers: bool,
+    /// Whether the counter replies.
+    counter_available: bool,
     calls: usize,
 }
 
@@ -30,33 +30,33 @@
     fn new(gateways: u32, skew: impl Fn(u32) -> Millis) -> Self {
         let mut fleet = Self {
             clocks: Vec::new(),
-            agenda: Agenda::new(),
+            schedule: Schedule::new(),
             random: Random(u64::from(gateways)),
             register: (0.0, 0.0),
-            answers: true,
+            counter_available: true,
             calls: 0,
         };
         for number in 0..gateways {
             let skew = skew(number);
             let clock = FleetClock::new(gateways, u64::from(number), BEGIN + skew);
             fleet.clocks.push((clock, skew));
-            fleet.agenda.at(0.0, Step::Poll(number as usize));
+            fleet.schedule.at(0.0, Step::Poll(number as usize));
         }
         fleet
     }
 
-    /// Plays until then.
+    /// Plays until a time.
     fn play(&mut self, until: Millis) {
-        while let Some((now, step)) = self.agenda.next() {
+        while let Some((now, step)) = self.schedule.next() {
             if now > until {
-                return self.agenda.at(now, step);
+                return self.schedule.at(now, step);
             }
             match step {
                 Step::Poll(number) => {
                     self.call(number, now);
-                    self.agenda.at(now + 20.0, Step::Poll(number));
+                    self.schedule.at(now + 20.0, Step::Poll(number));
                 }
-                Step::Answer(number, outcome) => {
+                Step::Reply(number, outcome) => {
                     let (clock, skew) = &mut self.clocks[number];
                     clock.answered(BEGIN + now + *skew, outcome);
                     self.call(number, now);
@@ -74,48 +74,52 @@
             self.register = (0.0, reached + call.ttl);
         }
         self.register.0 += call.amount;
-        let outcome =
-            if self.answers { CounterResult::Total(self.register.0) } else { CounterResult::Unknown };
-        self.agenda.at(reached + 1.0, Step::Answer(number, outcome));
+        let outcome = if self.counter_available {
+            CounterResult::Total(self.register.0)
+        } else {
+            CounterResult::Unknown
+        };
+        self.schedule.at(reached + 1.0, Step::Reply(number, outcome));
     }
 
-    /// By how much the fleet's times differ at most, over all gateways that know it, and how many do.
+    /// Returns the largest difference between the fleet's times at all synchronized gateways, and their
+    /// number.
     fn spread(&self) -> (Millis, usize) {
-        let known = self.clocks.iter().filter_map(|(clock, skew)| match clock.time() {
+        let synchronized = self.clocks.iter().filter_map(|(clock, skew)| match clock.time() {
             FleetTime::Synchronized { offset } => Some(skew + offset),
             _ => None,
         });
-        let times: Vec<_> = known.collect();
+        let times: Vec<_> = synchronized.collect();
         let first = times.first().copied().unwrap_or_default();
-        let centred = |time: Millis| (time - first + CYCLE / 2.0).rem_euclid(CYCLE) - CYCLE / 2.0;
+        let centered = |time: Millis| (time - first + CYCLE / 2.0).rem_euclid(CYCLE) - CYCLE / 2.0;
         let (low, high) = times.iter().fold((0.0, 0.0), |(low, high): (f64, f64), time| {
-            (low.min(centred(*time)), high.max(centred(*time)))
+            (low.min(centered(*time)), high.max(centered(*time)))
         });
         (high - low, times.len())
     }
 }
 
 #[test]
-fn fleets_agree_whatever_their_own_clocks_say() {
+fn fleets_agree_whatever_the_wall_clocks_say() {
     for gateways in [2, 3, 16, 300] {
-        // Less than a register's life apart may be taken for none at first.
+        // Differences below the register's life may not be noticed at first.
         for skew in [HOUR, -HOUR, 3000.0, -1500.0] {
             // One of three is off.
             let mut fleet = Fleet::new(gateways, |n| if n % 3 == 1 { skew } else { 0.0 });
             fleet.play(10_000.0);
-            let (spread, known) = fleet.spread();
+            let (spread, synchronized) = fleet.spread();
             println!(
-                "{gateways} gateways, {skew} ms: known to {known}, {spread:.0} ms apart, {} calls",
+                "{gateways} gateways, {skew} ms: {synchronized} synchronized, {spread:.0} ms apart, {} calls",
                 fleet.calls
             );
-            assert_eq!(known, gateways as usize);
+            assert_eq!(synchronized, gateways as usize);
             assert!(spread <= 400.0, "{gateways} gateways, {skew} ms: {spread} ms apart");
         }
     }
 }
 
 #[test]
-fn gateways_with_the_right_time_keep_it_and_their_calls_do_not_grow_with_the_fleet() {
+fn synchronized_gateways_keep_their_time_and_calls_do_not_grow_with_the_fleet() {
     for gateways in [2, 16, 300, 900] {
         let mut fleet = Fleet::new(gateways, |_| 0.0);
         fleet.play(12_000.0);
@@ -129,15 +133,15 @@
 }
 
 #[test]
-fn a_counter_that_does_not_answer_is_asked_seldom_and_agreed_on_again_when_it_does() {
+fn clocks_back_off_from_an_unavailable_counter_and_agree_after_its_recovery() {
     let mut fleet = Fleet::new(4, |n| if n == 1 { HOUR } else { 0.0 });
-    fleet.answers = false;
+    fleet.counter_available = false;
     fleet.play(20_000.0);
-    assert_eq!(fleet.spread().1, 0, "nobody knows");
+    assert_eq!(fleet.spread().1, 0, "no gateway is synchronized");
     assert!(fleet.calls <= 4 * 20, "{} calls in 20 s", fleet.calls);
-    // Marks whose answers were lost stand until they are forgotten.
-    fleet.answers = true;
+    // Marks whose replies were lost remain until they expire.
+    fleet.counter_available = true;
     fleet.play(20_000.0 + 8.0 * LIFE);
-    let (spread, known) = fleet.spread();
-    assert!(known == 4 && spread <= 400.0, "known to {known}, {spread} ms apart");
+    let (spread, synchronized) = fleet.spread();
+    assert!(synchronized == 4 && spread <= 400.0, "{synchronized} synchronized, {spread} ms apart");
 }
--- a/policy/tests/streams.rs
+++ b/policy/tests/random_event_streams.rs
@@ -1,26 +1,26 @@
-//! Long seeded streams of legal events in odd orders, and the rules that one gateway alone can be held to. There is
-//! no model of servers or fleets here: outcomes and totals are drawn at random.
+//! Long seeded streams of legal events in unusual orders, and the invariants that a single gateway has to
+//! keep. There is no model of endpoints or fleets here: outcomes and totals are random.
 
-mod helper;
-use helper::*;
+mod common;
+use common::*;
 use ryefront_policy::*;
 use std::collections::BTreeMap;
 
 /// What the test itself knows of a request.
-struct Known {
+struct TrackedRequest {
     class: usize,
     deadline: Millis,
     attempts: u32,
-    out: Option<(Name, Millis)>,
+    in_flight: Option<(Name, Millis)>,
     /// The endpoint and time of the first attempt that may have run.
-    may_have_run: Option<(Name, Millis)>,
+    first_ambiguous_attempt: Option<(Name, Millis)>,
     answered: bool,
 }
 
 #[derive(Default)]
 struct Checker {
     settings: Settings,
-    requests: BTreeMap<RequestId, Known>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
     calls: Vec<u64>,
     timers: BTreeMap<(u64, u64), u64>,
     draining: BTreeMap<Name, bool>,
@@ -31,25 +31,28 @@
     fn check(&mut self, now: Millis, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::ForwardAttempt { id, endpoint, .. } => self.sent(now, id, endpoint),
+                Action::ForwardAttempt { id, endpoint, .. } => self.forwarded(now, id, endpoint),
                 Action::Reject { id, .. } => {
-                    let group = self.settings.classes[1].dedup_scope;
+                    let dedup_scope = self.settings.classes[1].dedup_scope;
                     let known = self.answer(now, id);
-                    let harmless = [true, group == DedupScope::All, false][known.class];
-                    assert!(known.may_have_run.is_none() || harmless, "refused though it may have run");
+                    let harmless = [true, dedup_scope == DedupScope::All, false][known.class];
+                    assert!(
+                        known.first_ambiguous_attempt.is_none() || harmless,
+                        "rejected though it may have run"
+                    );
                 }
                 Action::Fail { id } => {
                     self.answer(now, id);
                 }
                 Action::CancelAttempt { id, .. } => {
-                    assert!(self.requests[&id].class != 2, "an unsafe attempt called off");
+                    assert!(self.requests[&id].class != 2, "a non-idempotent attempt was cancelled");
                 }
                 Action::SetTimer { after, token } => {
                     let order = self.timers.len() as u64;
                     self.timers.insert(((now + after).ceil() as u64, token << 8 | order & 0xff), token);
                 }
                 Action::IncrementCounter { key: name, .. } => {
-                    assert!(!self.calls.contains(&name), "two calls out for one name");
+                    assert!(!self.calls.contains(&name), "two calls in flight for one key");
                     self.calls.push(name);
                     assert!(self.calls.len() <= 64, "calls are bounded");
                 }
@@ -61,50 +64,59 @@
         }
     }
 
-    fn sent(&mut self, now: Millis, id: RequestId, endpoint: Name) {
-        assert!(!self.draining.get(&endpoint).copied().unwrap_or(true), "sent to {endpoint} after its drain");
+    fn forwarded(&mut self, now: Millis, id: RequestId, endpoint: Name) {
+        assert!(
+            !self.draining.get(&endpoint).copied().unwrap_or(true),
+            "forwarded to {endpoint} while it drains"
+        );
         let known = self.requests.get_mut(&id).expect("a known request");
-        assert!(!known.answered && known.out.is_none(), "a second attempt out, or after the answer");
-        if let Some((home, at)) = &known.may_have_run {
-            assert!(known.class != 2, "an unsafe request repeated");
+        assert!(
+            !known.answered && known.in_flight.is_none(),
+            "a second attempt in flight, or one after the answer"
+        );
+        if let Some((home, at)) = &known.first_ambiguous_attempt {
+            assert!(known.class != 2, "a non-idempotent request was retried");
             let keyed = &self.settings.classes[1];
-            let in_group =
+            let in_scope =
                 keyed.dedup_scope == DedupScope::All || home.starts_with('a') == endpoint.starts_with('a');
-            let in_time = now + self.settings.connect_timeout < at + keyed.dedup_window;
-            assert!(known.class == 0 || in_group && in_time, "a keyed repeat outside group or time");
+            let in_window = now + self.settings.connect_timeout < at + keyed.dedup_window;
+            assert!(
+                known.class == 0 || in_scope && in_window,
+                "a keyed retry outside its dedup scope or window"
+            );
         }
         known.attempts += 1;
-        // The first send that never ran is not held against a request; one is always allowed.
+        // One attempt is always allowed.
         assert!(known.attempts <= self.settings.max_attempts.max(1), "more attempts than allowed");
-        known.out = Some((endpoint, now));
+        known.in_flight = Some((endpoint, now));
     }
 
-    fn answer(&mut self, now: Millis, id: RequestId) -> &Known {
+    fn answer(&mut self, now: Millis, id: RequestId) -> &TrackedRequest {
         let known = self.requests.get_mut(&id).expect("a known request");
         assert!(!known.answered, "two answers");
-        assert!(now <= known.deadline + 16.0, "an answer after the client's patience");
+        assert!(now <= known.deadline + 16.0, "an answer after the deadline");
         known.answered = true;
         self.answers += 1;
         known
     }
 
     fn overdue(&self, now: Millis) -> Option<RequestId> {
-        let late = |k: &Known| !k.answered && k.out.is_none() && now > k.deadline + 16.0;
+        let late = |k: &TrackedRequest| !k.answered && k.in_flight.is_none() && now > k.deadline + 16.0;
         self.requests.iter().find(|(_, k)| late(k)).map(|(id, _)| *id)
     }
 }
 
-fn arrival(random: &mut Random, id: RequestId, patience: Millis, class: usize) -> Event {
+fn arrival(random: &mut Random, id: RequestId, time_to_deadline: Millis, class: usize) -> Event {
     let plan = ["plain", "ceiling", "capped"][random.below(3) as usize];
     let tenant = if random.below(5) == 0 { 1000 + id } else { random.below(12) };
     Event::RequestArrived(Arrival {
         id,
         tenant: format!("{plan}-{tenant}").as_str().into(),
         plan: plan.into(),
-        class: ["safe", "keyed", "unsafe"][class].into(),
+        class: ["idempotent", "keyed", "non_idempotent"][class].into(),
         units: [0.0, 0.5, 1.0, 3.0][random.below(4) as usize],
         client_retry: random.below(4) == 0,
-        time_to_deadline: patience,
+        time_to_deadline,
         first_gateway: random.below(2) as u32,
         gateways_per_tenant: [0, 1, 2, 30, 300, 4000][random.below(6) as usize],
     })
@@ -114,41 +126,41 @@
     let mut random = Random(seed);
     let mut checker = Checker { settings: settings.clone(), ..Checker::default() };
     let names = ["a1", "a2", "a3", "b1", "b2", "b3"];
-    let mut door = Door::new(settings, &names);
+    let mut gateway = TestGateway::new(settings, &names);
     checker.draining.extend(names.iter().map(|n| (Name::from(*n), false)));
-    let first = std::mem::take(&mut door.did);
-    checker.check(door.now, first);
+    let first = std::mem::take(&mut gateway.actions);
+    checker.check(gateway.now, first);
     for id in 1..=events {
-        door.now += random.below(12) as f64;
+        gateway.now += random.below(12) as f64;
         while let Some(((at, order), token)) = checker.timers.first_key_value().map(|(k, t)| (*k, *t)) {
-            if at as f64 > door.now {
+            if at as f64 > gateway.now {
                 break;
             }
             checker.timers.remove(&(at, order));
-            let did = door.tell(Event::Timer { token });
-            checker.check(door.now, did);
+            let actions = gateway.handle(Event::Timer { token });
+            checker.check(gateway.now, actions);
         }
-        for (id, event) in outcomes(&mut random, &mut checker, door.now) {
+        for (id, event) in outcomes(&mut random, &mut checker, gateway.now) {
             let finished = matches!(&event, Event::AttemptEnded(end) if end.request_finished);
             if finished && !checker.requests[&id].answered {
-                checker.answer(door.now, id);
+                checker.answer(gateway.now, id);
             }
-            let did = door.tell(event);
-            checker.check(door.now, did);
+            let actions = gateway.handle(event);
+            checker.check(gateway.now, actions);
         }
         let event = match random.below(40) {
             0..20 => {
-                let (class, patience) = (random.below(3) as usize, 300.0 + random.below(2500) as f64);
-                let known = Known {
+                let (class, time_to_deadline) = (random.below(3) as usize, 300.0 + random.below(2500) as f64);
+                let known = TrackedRequest {
                     class,
-                    deadline: door.now + patience,
+                    deadline: gateway.now + time_to_deadline,
                     attempts: 0,
-                    out: None,
-                    may_have_run: None,
+                    in_flight: None,
+                    first_ambiguous_attempt: None,
                     answered: false,
                 };
                 checker.requests.insert(id, known);
-                arrival(&mut random, id, patience, class)
+                arrival(&mut random, id, time_to_deadline, class)
             }
             20..34 if !checker.calls.is_empty() => {
                 let at = random.below(checker.calls.len() as u64) as usize;
@@ -176,18 +188,18 @@
             }
             _ => Event::ClientDisconnected { id: 900_000_000 },
         };
-        let did = door.tell(event);
-        checker.check(door.now, did);
-        assert_eq!(checker.overdue(door.now), None, "a request without its answer");
+        let actions = gateway.handle(event);
+        checker.check(gateway.now, actions);
+        assert_eq!(checker.overdue(gateway.now), None, "a request has no answer");
     }
     checker.answers
 }
 
-/// Ends some of the attempts that are out: at random, and all whose client's time is up.
+/// Ends some of the attempts in flight: at random, and all whose deadline has passed.
 fn outcomes(random: &mut Random, checker: &mut Checker, now: Millis) -> Vec<(RequestId, Event)> {
     let mut events = Vec::new();
     for (id, known) in &mut checker.requests {
-        let Some((endpoint, sent_at)) = known.out.clone() else { continue };
+        let Some((endpoint, sent_at)) = known.in_flight.clone() else { continue };
         let overdue = now >= known.deadline;
         if !overdue && random.below(12) != 0 {
             continue;
@@ -204,10 +216,10 @@
             ];
             all[random.below(5) as usize]
         };
-        known.out = None;
+        known.in_flight = None;
         let never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
-        if !never_ran && known.may_have_run.is_none() {
-            known.may_have_run = Some((endpoint.clone(), sent_at));
+        if !never_ran && known.first_ambiguous_attempt.is_none() {
+            known.first_ambiguous_attempt = Some((endpoint.clone(), sent_at));
         }
         let finished = outcome == Outcome::Served || known.answered;
         let (attempt, latency) = (known.attempts - 1, now - sent_at);
@@ -227,7 +239,7 @@
 }
 
 #[test]
-fn rules_hold_through_long_streams_of_odd_events() {
+fn invariants_hold_through_long_random_event_streams() {
     for seed in 1..=6 {
         let answers = play(seed, settings(), 6000);
         assert!(answers > 1000, "the stream must reach the answers it checks: {answers}");
@@ -235,30 +247,32 @@
 }
 
 #[test]
-fn rules_hold_where_settings_are_short_absent_or_zero() {
-    type Odd = (&'static str, fn(&mut Settings));
-    let odd: [Odd; 15] = [
-        ("window and connections", |s| (s.classes[1].dedup_window, s.connect_timeout) = (600.0, 250.0)),
-        ("window shorter than a connection", |s| {
+fn invariants_hold_where_settings_are_short_absent_or_zero() {
+    type SettingsChange = (&'static str, fn(&mut Settings));
+    let changes: [SettingsChange; 15] = [
+        ("a dedup window and a connect timeout", |s| {
+            (s.classes[1].dedup_window, s.connect_timeout) = (600.0, 250.0)
+        }),
+        ("a window shorter than the connect timeout", |s| {
             (s.classes[1].dedup_window, s.connect_timeout) = (200.0, 250.0)
         }),
-        ("window shorter than a tick", |s| s.classes[1].dedup_window = 3.0),
-        ("window of a tick and a bit", |s| s.classes[1].dedup_window = 9.0),
+        ("a window shorter than a tick", |s| s.classes[1].dedup_window = 3.0),
+        ("a window of little more than a tick", |s| s.classes[1].dedup_window = 9.0),
         ("no window", |s| s.classes[1].dedup_window = 0.0),
-        ("no window, and all know the key", |s| {
+        ("no window, and a dedup scope of all endpoints", |s| {
             (s.classes[1].dedup_window, s.classes[1].dedup_scope) = (0.0, DedupScope::All)
         }),
         ("no tick", |s| s.tick = 0.0),
-        ("no further attempts", |s| s.max_attempts = 0),
-        ("no advice", |s| s.max_retry_after = 0.0),
-        ("no time for the counter", |s| s.counter_timeout = 0.0),
-        ("no aim", |s| s.classes.iter_mut().for_each(|c| c.latency_objective = 0.0)),
+        ("no retries", |s| s.max_attempts = 0),
+        ("no Retry-After", |s| s.max_retry_after = 0.0),
+        ("no counter timeout", |s| s.counter_timeout = 0.0),
+        ("no latency objective", |s| s.classes.iter_mut().for_each(|c| c.latency_objective = 0.0)),
         ("no quota", |s| s.plans.iter_mut().for_each(|p| (p.rate, p.burst) = (0.0, 0.0))),
         ("a burst under one request", |s| s.plans.iter_mut().for_each(|p| (p.rate, p.burst) = (0.3, 0.6))),
-        ("a quota that turns over fast", |s| s.plans.iter_mut().for_each(|p| p.burst = 0.6)),
+        ("a quota that refills quickly", |s| s.plans.iter_mut().for_each(|p| p.burst = 0.6)),
         ("many gateways", |s| s.gateway_count = 3100),
     ];
-    for (what, change) in odd {
+    for (what, change) in changes {
         let mut settings = settings();
         change(&mut settings);
         let answers = play(7, settings, 1500);
@@ -267,7 +281,7 @@
 }
 
 #[test]
-fn rules_hold_with_settings_drawn_at_random() {
+fn invariants_hold_with_random_settings() {
     for seed in [18, 68, 77, 84, 98, 101, 102, 103] {
         let mut random = Random(seed * 7919 + 13);
         let mut draw = |list: &[f64]| list[random.below(list.len() as u64) as usize];
--- a/policy/tests/settings.rs
+++ b/policy/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Validation of the settings: what cannot be used is an error that names the value and what was expected.
 
-mod helper;
-use helper::*;
+mod common;
+use common::*;
 use ryefront_policy::*;
 
 fn error(change: impl FnOnce(&mut Settings)) -> Option<String> {
