--- a/policy/src/endpoint_table.rs
+++ b/policy/src/endpoint_table.rs
@@ -1,12 +1,11 @@
-//! The table of endpoints: what the endpoint list says of each, and the attempts in flight.
+//! The table of endpoints: the state of each by the endpoint list, and the attempts in flight.
 //!
 //! Endpoints are kept in slots, so that a request costs what its gateway's subset costs, and a change of the
 //! list what it names.
 
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::endpoint::Endpoint;
-use crate::hash::hash;
-use crate::slow_start::{EndpointStart, StartClock};
+use crate::slow_start::StartClock;
 use crate::subset::{Slot, Subset};
 use crate::{EndpointEntry, EndpointState, Millis, Name};
 use rustc_hash::FxHashMap;
@@ -73,16 +72,17 @@
     }
 
     fn apply_entry(&mut self, entry: EndpointEntry, now: Millis) -> Slot {
-        let EndpointEntry { name, zone, cell, state, started_at } = entry;
-        let known = self.slot_by_name.get(&name).copied();
-        let slot = known.unwrap_or_else(|| self.allocate_slot(&name));
-        if known.is_none() || self.slots[slot].start.started_at != started_at {
-            self.replace(slot, name, zone, cell, EndpointStart { started_at, learned_at: now });
-        } else if (&self.slots[slot].zone, self.slots[slot].cell) != (&zone, cell) {
+        let state = entry.state;
+        let known = self.slot_by_name.get(&entry.name).copied();
+        let slot = known.unwrap_or_else(|| self.allocate_slot(&entry.name));
+        let endpoint = &mut self.slots[slot];
+        if known.is_none() || endpoint.start.started_at != entry.started_at {
+            self.replace(slot, entry, now);
+        } else if (&endpoint.zone, endpoint.cell) != (&entry.zone, entry.cell) {
             // The same process moved: a keyed retry must not look for it in its old dedup scope.
             self.set_state(slot, EndpointState::Draining);
-            self.slots[slot].zone = zone;
-            self.slots[slot].cell = cell;
+            self.slots[slot].zone = entry.zone;
+            self.slots[slot].cell = entry.cell;
         }
         self.set_state(slot, state);
         slot
@@ -97,18 +97,14 @@
         slot
     }
 
-    /// Puts a new process into a slot. Nothing is known of it, but attempts in flight at the old one still
-    /// end.
-    fn replace(&mut self, slot: Slot, name: Name, zone: Name, cell: u64, start: EndpointStart) {
+    /// Puts a new process into a slot. Attempts in flight at the old one still end.
+    fn replace(&mut self, slot: Slot, entry: EndpointEntry, now: Millis) {
         self.set_state(slot, EndpointState::Draining);
-        let salt = hash(&name);
-        let in_flight = self.slots[slot].in_flight;
-        let limit = ConcurrencyLimit::initial(self.gateway_count);
-        self.slots[slot] =
-            Endpoint { name, zone, cell, salt, start, in_flight, limit, ..Endpoint::default() };
-        if let Some(started_at) = start.started_at {
-            self.start_clock.record(started_at, start.learned_at);
+        if let Some(started_at) = entry.started_at {
+            self.start_clock.record(started_at, now);
         }
+        let in_flight = self.slots[slot].in_flight;
+        self.slots[slot] = Endpoint::new(entry, now, in_flight, self.gateway_count);
     }
 
     /// Sets whether an endpoint may be sent new requests and whether it is removed, and updates the subset.
@@ -137,7 +133,7 @@
             let idle = slots[*slot].in_flight == 0;
             if idle {
                 slot_by_name.remove(&slots[*slot].name);
-                slots[*slot] = Endpoint { removed: true, ..Endpoint::default() };
+                slots[*slot] = Endpoint::vacant();
                 free.push(*slot);
             }
             !idle
@@ -192,7 +188,7 @@
     pub(crate) fn total_limit(&self) -> f64 {
         let members = self.subset.members();
         let others = self.subset.ready() - members.len();
-        let own_limit = members.iter().map(|slot| self.slots[*slot].limit.value()).sum::<f64>();
+        let own_limit = members.iter().map(|slot| self.slots[*slot].limit().value()).sum::<f64>();
         let limit = own_limit + others as f64 * ConcurrencyLimit::initial(self.gateway_count).value();
         limit.max(1.0)
     }
--- a/policy/src/engine.rs
+++ b/policy/src/engine.rs
@@ -10,7 +10,6 @@
 use crate::hash::mix;
 use crate::load_balancer::LoadBalancer;
 use crate::load_shedder::{Admission, LoadShedder};
-use crate::outlier_detection::LOGGED_FAILURES;
 use crate::quota::{
     MAX_WAIT_FRACTION, QuotaDecision, QuotaGate, QuotaReading, QuotaSource, ReplyOutcome, TenantArrival,
 };
@@ -316,31 +315,21 @@
 
     // ---- The end of attempts ----
 
-    /// Records what an attempt tells of its endpoint and of the load.
+    /// Records what an attempt shows of its endpoint and of the load.
     fn record_endpoint_outcome(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let name = &end.endpoint;
         let Some(endpoint) = self.endpoints.attempt_ended(name) else { return };
-        if let Some(length) = end.load_report.and_then(|report| report.queue_length) {
-            endpoint.queue.length = length;
-            endpoint.queue.received_at = self.now;
+        if let Some(report) = end.load_report {
+            endpoint.record_load_report(report, self.now);
         }
         // The class of a request that is over is not known.
         let Some(class) = self.requests.get(&end.id).map(|request| request.class) else { return };
         let latency_objective = self.settings.classes[class].latency_objective;
-        let served = end.outcome == Outcome::Served;
-        if served && endpoint.outlier.record_success() {
-            actions.push(Action::Log(format!("endpoint {name} recovered: it responds again")));
-        }
         let late = self.response_latency.record(class, latency_objective, end.outcome, end.latency);
         let Some(late) = late else { return };
-        endpoint.limit.record_latency(late, endpoint.in_flight);
         self.load_shedder.record_response(late);
-        let slow_start_duration = self.settings.slow_start_duration;
-        let outlier = &mut endpoint.outlier;
-        if !served && outlier.record_failure(self.now, end.outcome, end.latency, slow_start_duration) {
-            let text = format!("endpoint {name} ejected: {LOGGED_FAILURES} consecutive failures");
-            actions.push(Action::Log(text));
-        }
+        let change = endpoint.record_attempt_end(end, late, self.now, self.settings.slow_start_duration);
+        actions.extend(change.map(|change| Action::Log(change.log_line(name))));
     }
 
     /// Finishes the request of an attempt that ended, or retries it.
--- a/policy/src/load_balancer.rs
+++ b/policy/src/load_balancer.rs
@@ -115,7 +115,7 @@
     /// Returns the score of a candidate, lower is better, or `None` if it may not be chosen.
     fn score(&self, candidate: Candidate, class: &RequestClass, draws: RandomDraws) -> Option<f64> {
         let endpoint = self.endpoints.get(candidate.slot);
-        if !endpoint.limit.has_capacity(endpoint.in_flight) || endpoint.outlier.is_ejected(self.now) {
+        if !endpoint.is_available(self.now) {
             return None;
         }
         let clock = self.endpoints.start_clock();
@@ -133,7 +133,7 @@
         let draw = unit(choice_draw ^ endpoint.salt);
         let weighted_draw = if is_large_fleet(self.settings.gateway_count) {
             // A draw by weight, so that no two gateways prefer the same endpoints.
-            let queue = endpoint.queue.decayed(self.now, class.latency_objective.max(1.0));
+            let queue = endpoint.expected_queue(self.now, class.latency_objective.max(1.0));
             -draw.max(1e-12).ln() * (1.0 + queue).powi(2)
         } else {
             1.0 + TIE_BREAK_WEIGHT * draw
--- a/policy/src/quota/counter_call.rs
+++ b/policy/src/quota/counter_call.rs
@@ -22,7 +22,7 @@
     /// Returns the call that reads the total of the window before, and notes it as pending.
     pub(super) fn read_previous(tenant: &mut Tenant, share: QuotaShare<'_>) -> Self {
         let window = tenant.lease.window().wrapping_sub(1);
-        tenant.pending_call = Some(PendingCall::ReadPrevious { window });
+        tenant.set_pending_call(PendingCall::ReadPrevious { window });
         Self { key: share.counter_key(window), amount: 0.0, ttl: READ_TTL }
     }
 
@@ -39,7 +39,7 @@
             lease_block(tenant, share, draining)
         };
         let unreported = tenant.lease.take_unreported();
-        tenant.pending_call = Some(PendingCall::Increment { window, block, unreported });
+        tenant.set_pending_call(PendingCall::Increment { window, block, unreported });
         let (weight, ttl) = if low_quota {
             let elapsed = share.schedule().elapsed(window, now);
             (increment_weight(elapsed, share.refill_period()), length)
@@ -50,7 +50,7 @@
     }
 }
 
-/// Returns whether the total of the window before is needed: the present window alone does not tell what
+/// Returns whether the total of the window before is needed: the present window alone does not show what
 /// other gateways used a moment ago.
 pub(super) fn needs_previous_total(tenant: &Tenant, share: QuotaShare<'_>) -> bool {
     let lease = &tenant.lease;
@@ -59,14 +59,14 @@
 
 /// Returns the demand of the waiting requests, without clients' retries.
 fn low_quota_demand(tenant: &Tenant) -> f64 {
-    tenant.waiting.iter().filter(|request| !request.client_retry).map(|request| request.units).sum()
+    tenant.waiting().filter(|request| !request.client_retry).map(|request| request.units).sum()
 }
 
 /// Returns how many units to lease beside those that are left of the lease: while draining, no more than what
 /// waiting requests need.
 fn lease_block(tenant: &Tenant, share: QuotaShare<'_>, draining: bool) -> f64 {
     let lease = &tenant.lease;
-    let needed: f64 = tenant.waiting.iter().map(|request| request.units).sum();
+    let needed: f64 = tenant.waiting().map(|request| request.units).sum();
     let needed = needed.min(lease.remaining().max(1.0));
     let block = if draining { needed } else { lease.next_block(needed, &tenant.demand, share) };
     (block - lease.leased()).max(0.0)
--- a/policy/src/quota/fallback.rs
+++ b/policy/src/quota/fallback.rs
@@ -14,17 +14,17 @@
 /// What is known of the quota that a new allowance is a part of.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum FallbackStart {
-    /// An even part of the quota that was left by the last reading, in units.
-    LastReading { remaining: f64 },
+    /// An even part of the quota that was left by the last reading.
+    LastReading,
     /// Nothing: other gateways have used the quota without this one knowing.
     Empty,
 }
 
 impl FallbackAllowance {
-    /// Returns a new allowance.
-    pub(crate) fn new(start: FallbackStart, share: QuotaShare<'_>, now: Millis) -> Self {
+    /// Returns a new allowance, where `remaining` is the quota left by the last reading.
+    pub(crate) fn new(start: FallbackStart, remaining: f64, share: QuotaShare<'_>, now: Millis) -> Self {
         let units = match start {
-            FallbackStart::LastReading { remaining } => remaining.max(0.0) / share.gateways,
+            FallbackStart::LastReading => remaining.max(0.0) / share.gateways,
             FallbackStart::Empty => 0.0,
         };
         Self { units, updated_at: now }
--- a/policy/src/quota/gate.rs
+++ b/policy/src/quota/gate.rs
@@ -2,7 +2,7 @@
 
 use super::counter_call::{CounterCall, needs_previous_total};
 use super::counter_calls::{AvailabilityChange, CounterCalls};
-use super::fallback::{FallbackAllowance, FallbackStart};
+use super::fallback::FallbackStart;
 use super::lease::{BLOCK_FRACTION, IncrementReply};
 use super::low_quota::{LowQuotaTenants, LowQuotaTotal};
 use super::tenant::{PendingCall, Tenant, TenantArrival};
@@ -80,7 +80,7 @@
             QuotaDecision::Admit(QuotaReading::Known)
         } else if share.is_low_quota() {
             self.admit_low_quota(request, now.local, random)
-        } else if tenant.waiting.is_empty() && tenant.lease.spend(request.units) {
+        } else if !tenant.has_waiting() && tenant.lease.spend(request.units) {
             if !unavailable && tenant.lease.needs_renewal(&tenant.demand, share) {
                 self.request_block(&request.tenant, now.local, actions);
             }
@@ -107,8 +107,8 @@
         let wants_call = if request.client_retry { self.calls.call_ratio() >= 1.0 } else { sampled };
         let may_call = self.is_counter_usable() && wants_call;
         let Some(tenant) = self.tenants.get_mut(&request.tenant) else { return QuotaDecision::Wait };
-        let fresh = self.low_quota.is_fresh(tenant.salt, tenant.share(&self.plans), now);
-        let call_pending = tenant.pending_call.is_some();
+        let fresh = self.low_quota.is_fresh(tenant.salt(), tenant.share(&self.plans), now);
+        let call_pending = tenant.has_pending_call();
         if (fresh || call_pending) && !request.client_retry {
             tenant.lease.add_unreported(request.units);
         }
@@ -128,7 +128,7 @@
         let tenant = self.tenants.get(&request.tenant)?;
         let share = tenant.share(&self.plans);
         let decision =
-            self.low_quota.decide(tenant.salt, tenant.plan, request.client_retry, share, draw, now);
+            self.low_quota.decide(tenant.salt(), tenant.plan(), request.client_retry, share, draw, now);
         Some(if decision.admitted {
             QuotaDecision::Admit(decision.reading)
         } else {
@@ -149,15 +149,13 @@
             return self.admit_by_ratio(request, now, random);
         }
         tenant.lease.advance(window_now, share);
-        let remaining = tenant.lease.remaining();
-        let start = if converging { FallbackStart::Empty } else { FallbackStart::LastReading { remaining } };
-        let fallback = tenant.fallback.get_or_insert_with(|| FallbackAllowance::new(start, share, now));
-        if fallback.spend(request.units, share, now) {
-            tenant.lease.use_unleased(request.units);
-            return Some(QuotaDecision::Admit(QuotaReading::Known));
-        }
-        let missing_units = request.units - fallback.units;
-        Some(QuotaDecision::Reject { missing_units, refill_rate: share.plan.rate / share.gateways })
+        let start = if converging { FallbackStart::Empty } else { FallbackStart::LastReading };
+        Some(match tenant.spend_fallback(request.units, start, share, now) {
+            Ok(()) => QuotaDecision::Admit(QuotaReading::Known),
+            Err(missing_units) => {
+                QuotaDecision::Reject { missing_units, refill_rate: share.plan.rate / share.gateways }
+            }
+        })
     }
 
     // ---- Requests in progress ----
@@ -170,14 +168,14 @@
     /// Notes that an attempt is forwarded.
     pub(crate) fn attempt_forwarded(&mut self, tenant: &Name) {
         if let Some(tenant) = self.tenants.get_mut(tenant) {
-            tenant.in_flight += 1;
+            tenant.attempt_forwarded();
         }
     }
 
     /// Notes that an attempt is no longer in flight.
     pub(crate) fn attempt_ended(&mut self, tenant: &Name) {
         if let Some(tenant) = self.tenants.get_mut(tenant) {
-            tenant.in_flight = tenant.in_flight.saturating_sub(1);
+            tenant.attempt_ended();
         }
     }
 
@@ -228,7 +226,7 @@
         let may_call = self.is_counter_usable() && !self.clock.is_pending() && !self.calls.is_full();
         let now = self.clock.now(now);
         let Some(tenant) = self.tenants.get_mut(name) else { return };
-        if tenant.pending_call.is_some() || !may_call {
+        if tenant.has_pending_call() || !may_call {
             return;
         }
         let share = tenant.share(&self.plans);
@@ -261,7 +259,7 @@
         let window_now = self.clock.now(now);
         let Some(tenant) = self.tenants.get_mut(name) else { return ReplyOutcome::Nothing };
         let share = tenant.share(&self.plans);
-        let (window, block, unreported) = match tenant.pending_call.take() {
+        let (window, block, unreported) = match tenant.take_pending_call() {
             None => return ReplyOutcome::Nothing,
             Some(PendingCall::ReadPrevious { window }) => {
                 tenant.lease.set_previous(window, total);
@@ -275,12 +273,11 @@
             let reply = LowQuotaTotal { window, total, block, call_ratio };
             return self.on_low_quota_total(name, reply, window_now, actions);
         }
-        let fallback = tenant.fallback.take();
         let reply = IncrementReply { window, block, unreported, total };
-        tenant.lease.apply_reply(reply, fallback, self.calls.recovered_at(), window_now, share);
+        tenant.apply_reply(reply, self.calls.recovered_at(), window_now, share);
         ReplyOutcome::LeaseUpdated {
             tenant: name.clone(),
-            waiting: std::mem::take(&mut tenant.waiting),
+            waiting: tenant.take_waiting(),
             returns_units: tenant.lease.unreported() <= -MIN_REPORTED_UNITS,
         }
     }
@@ -290,12 +287,12 @@
     ) -> ReplyOutcome {
         let Some(tenant) = self.tenants.get_mut(name) else { return ReplyOutcome::Nothing };
         let share = tenant.share(&self.plans);
-        let (ratio, gossip) = self.low_quota.record_total(tenant.salt, reply, share, now);
+        let (ratio, gossip) = self.low_quota.record_total(tenant.salt(), reply, share, now);
         actions.extend(gossip);
-        let waiting = std::mem::take(&mut tenant.waiting);
+        let waiting = tenant.take_waiting();
         if tenant.lease.record_reading() {
             let client_retry = waiting.iter().any(|request| request.client_retry);
-            self.low_quota.record_first_reading(tenant.plan, client_retry, ratio);
+            self.low_quota.record_first_reading(tenant.plan(), client_retry, ratio);
         }
         ReplyOutcome::RatioUpdated { waiting }
     }
@@ -310,11 +307,11 @@
             actions.push(Action::Log("counter unavailable: spending leases and fallback allowances".into()));
         }
         let Some(tenant) = self.tenants.get_mut(name) else { return ReplyOutcome::Nothing };
-        if let Some(PendingCall::Increment { unreported, .. }) = tenant.pending_call.take() {
+        if let Some(PendingCall::Increment { unreported, .. }) = tenant.take_pending_call() {
             let may_be_added = result == CounterResult::Unknown;
             tenant.lease.add_unreported(if may_be_added { unreported.max(0.0) } else { unreported });
         }
-        ReplyOutcome::Failed { waiting: std::mem::take(&mut tenant.waiting) }
+        ReplyOutcome::Failed { waiting: tenant.take_waiting() }
     }
 
     // ---- Maintenance ----
@@ -339,7 +336,7 @@
                 (share.plan.burst * BLOCK_FRACTION).max(MIN_REPORTED_UNITS)
             };
             let has_report = !share.is_low_quota() && tenant.lease.unreported().abs() >= least_report;
-            if tenant.pending_call.is_none() && (has_report || !tenant.waiting.is_empty()) {
+            if !tenant.has_pending_call() && (has_report || tenant.has_waiting()) {
                 to_report.push(name.clone());
             }
             tenant.is_busy() || idle < refill_period * IDLE_PERIODS
--- a/policy/src/quota/low_quota.rs
+++ b/policy/src/quota/low_quota.rs
@@ -111,14 +111,14 @@
         if ratio > (1.0 - ratio) * cost { 1.0 } else { ratio }
     }
 
-    /// Caches the admit ratio that a total tells. Returns the ratio, and the message to other gateways if
-    /// there is one to send.
+    /// Caches the admit ratio that follows from a total. Returns the ratio, and the message to other gateways
+    /// if there is one to send.
     pub(super) fn record_total(
         &mut self, salt: u64, reply: LowQuotaTotal, share: QuotaShare<'_>, now: Now,
     ) -> (f64, Option<Action>) {
         let refill_period = share.refill_period();
         let elapsed = share.schedule().elapsed(reply.window, now);
-        // A request that weighs more than itself stands for others that were not counted: that is not held
+        // A request that weighs more than itself represents others that were not counted: that is not held
         // against it.
         let extrapolated = reply.block - reply.block * reply.call_ratio;
         let demand = (decayed(reply.total, elapsed, refill_period) - extrapolated).max(0.0);
--- a/policy/src/quota/tenant.rs
+++ b/policy/src/quota/tenant.rs
@@ -2,16 +2,16 @@
 
 use super::QuotaRequest;
 use super::demand::Demand;
-use super::fallback::FallbackAllowance;
-use super::lease::LeaseCache;
+use super::fallback::{FallbackAllowance, FallbackStart};
+use super::lease::{IncrementReply, LeaseCache};
 use super::share::{QuotaShare, refill_period};
-use super::window::WindowNumber;
+use super::window::{Now, WindowNumber};
 use crate::hash::hash;
 use crate::settings::PlanIndex;
 use crate::{Millis, QuotaPlan, RequestId};
 use std::collections::VecDeque;
 
-/// Where this gateway stands among those that serve a tenant, as a request tells it.
+/// The position of this gateway among those that serve a tenant, as stated by a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TenantArrival {
     pub(crate) gateway_index: u32,
@@ -47,21 +47,21 @@
 #[derive(Debug)]
 pub(crate) struct Tenant {
     /// The plan of its first request.
-    pub(crate) plan: PlanIndex,
+    plan: PlanIndex,
     /// How many gateways serve it.
     gateways: f64,
     /// The position of this gateway among them.
     position: u32,
     /// A hash of the name.
-    pub(crate) salt: u64,
-    pub(crate) lease: LeaseCache,
-    pub(crate) demand: Demand,
+    salt: u64,
+    pub(super) lease: LeaseCache,
+    pub(super) demand: Demand,
     /// The allowance spent while the counter is unavailable.
-    pub(crate) fallback: Option<FallbackAllowance>,
-    pub(crate) pending_call: Option<PendingCall>,
-    pub(crate) waiting: VecDeque<WaitingRequest>,
+    fallback: Option<FallbackAllowance>,
+    pending_call: Option<PendingCall>,
+    waiting: VecDeque<WaitingRequest>,
     /// Attempts in flight.
-    pub(crate) in_flight: u32,
+    in_flight: u32,
 }
 
 impl Tenant {
@@ -110,6 +110,74 @@
         self.in_flight < (max_in_flight / gateways + remainder).max(1)
     }
 
+    pub(crate) fn plan(&self) -> PlanIndex {
+        self.plan
+    }
+
+    pub(crate) fn salt(&self) -> u64 {
+        self.salt
+    }
+
+    /// Notes that an attempt is forwarded.
+    pub(crate) fn attempt_forwarded(&mut self) {
+        self.in_flight += 1;
+    }
+
+    /// Notes that an attempt is no longer in flight.
+    pub(crate) fn attempt_ended(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+    }
+
+    /// Spends units while the counter is unavailable, from an allowance that begins with the first request.
+    ///
+    /// # Errors
+    /// The units that are missing, if the allowance is too small.
+    pub(crate) fn spend_fallback(
+        &mut self, units: f64, start: FallbackStart, share: QuotaShare<'_>, now: Millis,
+    ) -> Result<(), f64> {
+        let new = || FallbackAllowance::new(start, self.lease.remaining(), share, now);
+        let fallback = self.fallback.get_or_insert_with(new);
+        if fallback.spend(units, share, now) {
+            self.lease.use_unleased(units);
+            Ok(())
+        } else {
+            Err(units - fallback.units)
+        }
+    }
+
+    /// Applies the reply to an increment, which ends the use of the fallback allowance.
+    pub(crate) fn apply_reply(
+        &mut self, reply: IncrementReply, recovered_at: Millis, now: Now, share: QuotaShare<'_>,
+    ) {
+        let fallback = self.fallback.take();
+        self.lease.apply_reply(reply, fallback, recovered_at, now, share);
+    }
+
+    pub(crate) fn has_pending_call(&self) -> bool {
+        self.pending_call.is_some()
+    }
+
+    pub(crate) fn set_pending_call(&mut self, call: PendingCall) {
+        self.pending_call = Some(call);
+    }
+
+    pub(crate) fn take_pending_call(&mut self) -> Option<PendingCall> {
+        self.pending_call.take()
+    }
+
+    /// Iterates over the requests that wait for a reply.
+    pub(crate) fn waiting(&self) -> impl Iterator<Item = &WaitingRequest> {
+        self.waiting.iter()
+    }
+
+    pub(crate) fn has_waiting(&self) -> bool {
+        !self.waiting.is_empty()
+    }
+
+    pub(crate) fn take_waiting(&mut self) -> VecDeque<WaitingRequest> {
+        std::mem::take(&mut self.waiting)
+    }
+
     /// Adds a request to those that wait for a reply.
     pub(crate) fn wait(&mut self, request: &QuotaRequest) {
         self.waiting.push_back(request.into());
--- a/policy/src/quota/window.rs
+++ b/policy/src/quota/window.rs
@@ -1,4 +1,4 @@
-//! Quota windows: the clock by which they are told, their numbers, and the counter keys that stand for them.
+//! Quota windows: the clock that determines them, their numbers, and their counter keys.
 
 use crate::fleet_clock::CYCLE;
 use crate::hash::mix;
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Now {
     pub(crate) local: Millis,
-    /// The time by which windows are told.
+    /// The time that determines windows.
     pub(crate) fleet: Millis,
 }
 
