--- a/policy/examples/loop.rs
+++ b/policy/examples/loop.rs
@@ -1,14 +1,148 @@
-//! A host's loop around one gateway: events in, actions out, timers, a counter, an endpoint, a restart.
-//! Time is a plain number here; a real host uses a clock that agrees with those of the other gateways.
+//! A host's event loop around one policy engine: timers, a counter, an endpoint, and a restart.
+//!
+//! Time is a plain number here. A real host uses a clock that agrees with those of the other gateways.
 
 use ryefront_policy::{
     Action, Arrival, AttemptEnd, CounterResult, DedupScope, EndpointEntry, EndpointState, Event, Idempotency,
-    Millis, Outcome, PolicyEngine, QuotaPlan, RequestClass, Settings,
+    Millis, Name, Outcome, PolicyEngine, QuotaPlan, RequestClass, RequestId, Settings, SettingsError,
 };
 use std::collections::BTreeMap;
 
-/// What is to happen, by time (whole ms) and order.
-type Agenda = BTreeMap<(u64, u64), Event>;
+const RESTART_AT: Millis = 60.0;
+const END: Millis = 500.0;
+const COUNTER_LATENCY: Millis = 2.0;
+const ENDPOINT_LATENCY: Millis = 40.0;
+
+fn main() -> Result<(), SettingsError> {
+    let mut host = Host::new(42)?;
+    host.schedule_endpoint_list();
+    (1..=8).for_each(|id| host.schedule_request(id));
+    let mut restarted = false;
+    while let Some((now, event)) = host.next_event().filter(|(now, _)| *now <= END) {
+        host.now = now;
+        if now > RESTART_AT && !std::mem::replace(&mut restarted, true) {
+            host.restart(43)?;
+        }
+        host.handle(event);
+    }
+    Ok(())
+}
+
+/// The host: the engine, the events to come, and stand-ins for counter and endpoint.
+struct Host {
+    engine: PolicyEngine,
+    now: Millis,
+    /// By time in whole milliseconds, and by order.
+    events: BTreeMap<(u64, u64), Event>,
+    order: u64,
+    totals: BTreeMap<u64, f64>,
+    attempts: BTreeMap<RequestId, u32>,
+}
+
+impl Host {
+    fn new(seed: u64) -> Result<Self, SettingsError> {
+        Ok(Self {
+            engine: PolicyEngine::new(settings(), seed)?,
+            now: 0.0,
+            events: BTreeMap::new(),
+            order: 0,
+            totals: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+        })
+    }
+
+    fn schedule(&mut self, at: Millis, event: Event) {
+        self.order += 1;
+        self.events.insert((at.ceil() as u64, self.order), event);
+    }
+
+    fn schedule_endpoint_list(&mut self) {
+        let endpoint = EndpointEntry {
+            name: "endpoint-1".into(),
+            zone: "a".into(),
+            cell: 0,
+            state: EndpointState::Ready,
+            started_at: None,
+        };
+        self.schedule(self.now, Event::EndpointSnapshot(vec![endpoint]));
+    }
+
+    fn schedule_request(&mut self, id: RequestId) {
+        let arrival = Arrival {
+            id,
+            tenant: "tenant-1".into(),
+            plan: "basic".into(),
+            class: "read".into(),
+            units: 1.0,
+            client_retry: false,
+            time_to_deadline: 900.0,
+            first_gateway: 0,
+            gateways_per_tenant: 1,
+        };
+        self.schedule(id as Millis * 10.0, Event::RequestArrived(arrival));
+    }
+
+    fn next_event(&mut self) -> Option<(Millis, Event)> {
+        self.events.pop_first().map(|((at, _), event)| (at as Millis, event))
+    }
+
+    /// Replaces the engine by a new one, with a fresh seed and the last endpoint list. Requests in progress
+    /// are lost; their clients retry.
+    fn restart(&mut self, seed: u64) -> Result<(), SettingsError> {
+        self.engine = PolicyEngine::new(settings(), seed)?;
+        self.events.retain(|_, event| matches!(event, Event::RequestArrived(_)));
+        self.schedule_endpoint_list();
+        Ok(())
+    }
+
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.engine.handle(self.now, event, &mut actions);
+        actions.into_iter().for_each(|action| self.perform(action));
+    }
+
+    fn perform(&mut self, action: Action) {
+        let now = self.now;
+        match action {
+            Action::SetTimer { after, token } => self.schedule(now + after, Event::Timer { token }),
+            Action::IncrementCounter { key, amount, .. } => self.increment_counter(key, amount),
+            Action::ForwardAttempt { id, endpoint, .. } => self.forward(id, endpoint),
+            Action::Reject { id, retry_after } => {
+                println!("{now:>5} ms  request {id} rejected, Retry-After {retry_after:.0} ms");
+            }
+            Action::Fail { id } => println!("{now:>5} ms  request {id} failed"),
+            Action::Log(line) => println!("{now:>5} ms  log: {line}"),
+            Action::CancelAttempt { .. }
+            | Action::HealthCheck { .. }
+            | Action::Gossip { .. }
+            | Action::WatchEndpoints => {}
+        }
+    }
+
+    fn increment_counter(&mut self, key: u64, amount: f64) {
+        let total = self.totals.entry(key).or_default();
+        *total += amount;
+        let result = CounterResult::Total(*total);
+        let reply = Event::CounterReply { key, result, latency: COUNTER_LATENCY };
+        self.schedule(self.now + COUNTER_LATENCY, reply);
+    }
+
+    fn forward(&mut self, id: RequestId, endpoint: Name) {
+        println!("{:>5} ms  request {id} forwarded to {endpoint}", self.now);
+        let attempt = *self.attempts.entry(id).and_modify(|attempt| *attempt += 1).or_insert(0);
+        let end = AttemptEnd {
+            id,
+            attempt,
+            endpoint,
+            outcome: Outcome::Served,
+            latency: ENDPOINT_LATENCY,
+            actual_units: None,
+            request_finished: true,
+            load_report: None,
+        };
+        self.schedule(self.now + ENDPOINT_LATENCY, Event::AttemptEnded(end));
+    }
+}
 
 fn settings() -> Settings {
     let class = RequestClass {
@@ -47,93 +181,3 @@
         ..Settings::default()
     }
 }
-
-fn main() -> Result<(), ryefront_policy::SettingsError> {
-    let mut gateway = PolicyEngine::new(settings(), 42)?;
-    let (mut agenda, mut order) = (Agenda::new(), 0);
-    let mut plan = |agenda: &mut Agenda, at: Millis, event: Event| {
-        order += 1;
-        agenda.insert((at.ceil() as u64, order), event);
-    };
-    let endpoint = EndpointEntry {
-        name: "b1".into(),
-        zone: "a".into(),
-        cell: 0,
-        state: EndpointState::Ready,
-        started_at: None,
-    };
-    plan(&mut agenda, 0.0, Event::EndpointSnapshot(vec![endpoint.clone()]));
-    for id in 1..=8 {
-        let (tenant, name, class) = ("tenant".into(), "basic".into(), "read".into());
-        let arrival = Arrival {
-            id,
-            tenant,
-            plan: name,
-            class,
-            units: 1.0,
-            client_retry: false,
-            time_to_deadline: 900.0,
-            first_gateway: 0,
-            gateways_per_tenant: 1,
-        };
-        plan(&mut agenda, id as Millis * 10.0, Event::RequestArrived(arrival));
-    }
-    let (mut counts, mut attempts) = (BTreeMap::<u64, f64>::new(), BTreeMap::<u64, u32>::new());
-    let mut restarted = false;
-    while let Some(((at, _), event)) = agenda.pop_first() {
-        let now = at as Millis;
-        if now > 500.0 {
-            break;
-        }
-        if now > 60.0 && !restarted {
-            // A restart: a new gateway with a fresh seed and the last list; its requests are the clients' to retry.
-            restarted = true;
-            gateway = PolicyEngine::new(settings(), 43)?;
-            agenda.retain(|_, event| matches!(event, Event::RequestArrived(_)));
-            plan(&mut agenda, now, Event::EndpointSnapshot(vec![endpoint.clone()]));
-        }
-        let mut actions = Vec::new();
-        gateway.handle(now, event, &mut actions);
-        for action in actions {
-            match action {
-                Action::SetTimer { after, token } => plan(&mut agenda, now + after, Event::Timer { token }),
-                Action::IncrementCounter { key: name, amount, .. } => {
-                    let total = counts.entry(name).or_default();
-                    *total += amount;
-                    let outcome = CounterResult::Total(*total);
-                    plan(
-                        &mut agenda,
-                        now + 2.0,
-                        Event::CounterReply { key: name, result: outcome, latency: 2.0 },
-                    );
-                }
-                Action::ForwardAttempt { id, endpoint, .. } => {
-                    println!("{now:>5} ms  {id} sent to {endpoint}");
-                    let attempt = *attempts.entry(id).and_modify(|n| *n += 1).or_insert(0);
-                    let (outcome, latency, finished) = (Outcome::Served, 40.0, true);
-                    let end = AttemptEnd {
-                        id,
-                        attempt,
-                        endpoint,
-                        outcome,
-                        latency,
-                        actual_units: None,
-                        request_finished: finished,
-                        load_report: None,
-                    };
-                    plan(&mut agenda, now + latency, Event::AttemptEnded(end));
-                }
-                Action::Reject { id, retry_after } => {
-                    println!("{now:>5} ms  {id} refused, come back in {retry_after:.0} ms");
-                }
-                Action::Fail { id } => println!("{now:>5} ms  {id} failed"),
-                Action::Log(line) => println!("{now:>5} ms  log: {line}"),
-                Action::CancelAttempt { .. }
-                | Action::HealthCheck { .. }
-                | Action::Gossip { .. }
-                | Action::WatchEndpoints => {}
-            }
-        }
-    }
-    Ok(())
-}
