--- /dev/null
+++ b/gateway/src/counter/resp.rs
@@ -0,0 +1,123 @@
+//! The counter's commands and replies in RESP2.
+
+use redis_protocol::error::RedisProtocolError;
+use redis_protocol::resp2::decode::decode;
+use redis_protocol::resp2::types::{FrameKind, OwnedFrame, Resp2Frame};
+use ryefront_policy::Millis;
+use std::collections::VecDeque;
+
+/// The most bytes of replies that are buffered before they make a complete reply.
+const MAX_BUFFERED_BYTES: usize = 4096;
+
+/// Amounts are sent rounded to this fraction of a unit.
+const AMOUNT_STEPS_PER_UNIT: f64 = 1e6;
+
+/// One command to the counter.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum Command {
+    /// Adds to a number and returns its total.
+    Increment { key: u64, amount: f64, ttl: Millis },
+    /// Keeps an idle connection open.
+    Ping,
+}
+
+impl Command {
+    /// Appends the command as a RESP2 array of bulk strings.
+    pub(super) fn encode(&self, output: &mut VecDeque<u8>) {
+        match self {
+            Self::Increment { key, amount, ttl } => {
+                let amount = (amount * AMOUNT_STEPS_PER_UNIT).round() / AMOUNT_STEPS_PER_UNIT;
+                let ttl_ms = ttl.ceil().max(1.0) as u64;
+                encode_array(&["ADDGET", &key.to_string(), &amount.to_string(), &ttl_ms.to_string()], output);
+            }
+            Self::Ping => encode_array(&["PING"], output),
+        }
+    }
+}
+
+fn encode_array(words: &[&str], output: &mut VecDeque<u8>) {
+    output.extend(format!("*{}\r\n", words.len()).bytes());
+    for word in words {
+        output.extend(format!("${}\r\n{word}\r\n", word.len()).bytes());
+    }
+}
+
+/// One complete reply of the counter.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum Reply {
+    /// The amount was added; the total after it.
+    Total(f64),
+    /// The call was rejected: nothing was added.
+    Rejected,
+    /// The reply to [`Command::Ping`].
+    Pong,
+}
+
+impl Reply {
+    /// Interprets a frame as the reply to the oldest command in flight.
+    pub(super) fn decode(frame: &OwnedFrame, oldest: Option<Command>) -> Result<Self, ReplyError> {
+        let command = oldest.ok_or(ReplyError::Unsolicited)?;
+        let reply = match frame {
+            OwnedFrame::BulkString(text) => parse_total(text).map(Self::Total),
+            // After any other error the amount may have been added.
+            OwnedFrame::Error(error) if error.starts_with("BUSY") || error.starts_with("ERR") => {
+                Some(Self::Rejected)
+            }
+            OwnedFrame::SimpleString(_) if command == Command::Ping => Some(Self::Pong),
+            _ => None,
+        };
+        reply.ok_or_else(|| ReplyError::Unexpected { command, received: frame.kind() })
+    }
+}
+
+fn parse_total(text: &[u8]) -> Option<f64> {
+    let total = std::str::from_utf8(text).ok()?.parse::<f64>().ok()?;
+    total.is_finite().then_some(total)
+}
+
+/// Bytes that cannot be matched to a call. The replies behind them are unusable too.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ReplyError {
+    #[error("malformed reply: {0}")]
+    Malformed(RedisProtocolError),
+    #[error("a reply of {received} bytes or more, expected {MAX_BUFFERED_BYTES} at most")]
+    TooLong { received: usize },
+    #[error("a reply was not complete within {limit_ms} ms")]
+    Incomplete { limit_ms: u128 },
+    #[error("a reply without a call in flight")]
+    Unsolicited,
+    #[error("unusable {received:?} in reply to {command:?}, expected a finite total, BUSY or ERR")]
+    Unexpected { command: Command, received: FrameKind },
+}
+
+/// The bytes received that do not make a complete reply yet.
+#[derive(Default)]
+pub(super) struct ReplyBuffer {
+    bytes: Vec<u8>,
+}
+
+impl ReplyBuffer {
+    pub(super) fn extend(&mut self, bytes: &[u8]) {
+        self.bytes.extend_from_slice(bytes);
+    }
+
+    /// Whether a reply has begun that is not complete.
+    pub(super) fn has_partial_reply(&self) -> bool {
+        !self.bytes.is_empty()
+    }
+
+    /// Removes the next complete frame.
+    pub(super) fn next_frame(&mut self) -> Result<Option<OwnedFrame>, ReplyError> {
+        let Some((frame, length)) = decode(&self.bytes).map_err(ReplyError::Malformed)? else {
+            return Ok(None);
+        };
+        self.bytes.drain(..length);
+        Ok(Some(frame))
+    }
+
+    /// Rejects a partial reply that is longer than any valid one.
+    pub(super) fn check_length(&self) -> Result<(), ReplyError> {
+        let received = self.bytes.len();
+        if received > MAX_BUFFERED_BYTES { Err(ReplyError::TooLong { received }) } else { Ok(()) }
+    }
+}
--- a/gateway/src/engine.rs
+++ b/gateway/src/engine.rs
@@ -2,7 +2,7 @@
 //! the tables of requests that have no final answer yet and of attempts that are out.
 
 use crate::clock::{Clock, millis, span};
-use crate::counter::Counter;
+use crate::counter::{CompletedCall, CounterClient};
 use crate::endpoint::{Answer, End, EndpointRegistry, Message};
 use crate::log;
 use crate::socket::Socket;
@@ -67,7 +67,7 @@
     clock: Clock,
     fleet_clock: RefCell<FleetClock>,
     endpoints: Rc<EndpointRegistry>,
-    counter: Option<Counter>,
+    counter: Option<CounterClient>,
     state: RefCell<State>,
     events: RefCell<VecDeque<Event>>,
     running: Cell<bool>,
@@ -90,16 +90,16 @@
         Ok(Rc::new_cyclic(|me: &Weak<Self>| {
             let to = me.clone();
             let counter = counter.map(|address| {
-                let report = move |name, outcome, latency| {
+                let report = move |CompletedCall { key, result, latency }| {
                     let Some(engine) = to.upgrade() else { return };
-                    if name == FleetClock::register() {
-                        engine.agree(outcome);
+                    if key == FleetClock::register() {
+                        engine.agree(result);
                     } else {
-                        engine.post(Event::CounterReply { key: name, result: outcome, latency });
+                        engine.post(Event::CounterReply { key, result, latency });
                     }
                 };
                 spawn(keep_agreeing(me.clone()));
-                Counter::start(address, patience, Rc::new(report))
+                CounterClient::start(address, patience, Rc::new(report))
             });
             Self {
                 clock,
@@ -135,7 +135,7 @@
     /// The counter is elsewhere from now on.
     pub fn move_counter(&self, address: SocketAddr) {
         if let Some(counter) = &self.counter {
-            counter.move_to(address);
+            counter.migrate_to(address);
         }
     }
 
--- a/gateway/tests/counter.rs
+++ b/gateway/tests/counter.rs
@@ -3,6 +3,7 @@
 mod helper;
 
 use helper::{Counter, Discovery, Do, Endpoint, Gateway, Mood, Setup, World, ok, pause, request, row};
+use ryefront_gateway::counter::{CompletedCall, CounterClient};
 use ryefront_policy::CounterResult;
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -97,8 +98,8 @@
     tokio::task::LocalSet::new()
         .run_until(async move {
             let (report, mut ends) = tokio::sync::mpsc::unbounded_channel();
-            let report = Rc::new(move |_, outcome, _| report.send(outcome).expect("a listener"));
-            let counter = ryefront_gateway::counter::Counter::start(at, Duration::from_secs(1), report);
+            let report = Rc::new(move |call: CompletedCall| report.send(call.result).expect("a listener"));
+            let counter = CounterClient::start(at, Duration::from_secs(1), report);
             let mut outcomes = Vec::new();
             for next in moods {
                 *mood.lock().expect("lock") = next;
