--- a/fleet/src/discovery.rs
+++ b/fleet/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: the lists it writes, as text in the form that gateways read, and the changes it gathers.
 
-use ryefront_gateway::discovery::{List, ListError};
+use ryefront_gateway::discovery::{EndpointList, EndpointListError};
 use ryefront_policy::EndpointState;
 use std::fmt::Write;
 
@@ -58,7 +58,7 @@
 
 /// A list that has been written, and what it takes on the wire.
 pub(crate) struct Batch {
-    pub(crate) list: List,
+    pub(crate) list: EndpointList,
     pub(crate) bytes: u64,
 }
 
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     /// When the real parser does not take it.
-    pub(crate) fn whole(&mut self, rows: &[Row]) -> Result<usize, ListError> {
+    pub(crate) fn whole(&mut self, rows: &[Row]) -> Result<usize, EndpointListError> {
         self.write(true, rows)
     }
 
@@ -88,14 +88,14 @@
     ///
     /// # Errors
     /// When the real parser does not take it.
-    pub(crate) fn changes(&mut self) -> Result<Option<usize>, ListError> {
+    pub(crate) fn changes(&mut self) -> Result<Option<usize>, EndpointListError> {
         let rows = std::mem::take(&mut self.pending);
         if rows.is_empty() { Ok(None) } else { self.write(false, &rows).map(Some) }
     }
 
-    fn write(&mut self, whole: bool, rows: &[Row]) -> Result<usize, ListError> {
+    fn write(&mut self, whole: bool, rows: &[Row]) -> Result<usize, EndpointListError> {
         let text = text(self.batches.len() as u64 + 1, whole, rows);
-        self.batches.push(Batch { list: List::parse(text.as_bytes())?, bytes: text.len() as u64 });
+        self.batches.push(Batch { list: EndpointList::parse(text.as_bytes())?, bytes: text.len() as u64 });
         Ok(self.batches.len() - 1)
     }
 }
--- a/fleet/src/gateways.rs
+++ b/fleet/src/gateways.rs
@@ -99,13 +99,13 @@
             self.heard.resize(place + 1, None);
         }
         self.heard[place] = Some(now);
-        let bytes = if batch.list.whole { &mut self.whole_bytes } else { &mut self.change_bytes };
+        let bytes = if batch.list.is_snapshot { &mut self.whole_bytes } else { &mut self.change_bytes };
         *bytes += batch.bytes;
         if let Some(table) = &self.table {
             table.update(&batch.list);
         }
-        let entries = batch.list.hosts.iter().map(|h| h.entry.clone()).collect();
-        if batch.list.whole { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) }
+        let entries = batch.list.endpoints.iter().map(|h| h.entry.clone()).collect();
+        if batch.list.is_snapshot { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) }
     }
 
     /// Whether there is a free connection to a server, which is then busy.
--- a/fleet/src/slopes.rs
+++ b/fleet/src/slopes.rs
@@ -6,8 +6,8 @@
 
 use crate::discovery::{Row, text};
 use crate::gateways::table;
-use ryefront_gateway::discovery::backoff::Pace;
-use ryefront_gateway::discovery::{List, ListError, watch};
+use ryefront_gateway::discovery::backoff::PollTiming;
+use ryefront_gateway::discovery::{EndpointList, EndpointListError, watch_endpoints};
 use ryefront_gateway::endpoint::EndpointRegistry;
 use ryefront_gateway::engine::Engine;
 use ryefront_policy::{
@@ -85,7 +85,7 @@
     Settings(#[from] SettingsError),
     /// The real parser does not take a list.
     #[error("the gateways' parser does not take the list: {0}")]
-    List(#[from] ListError),
+    List(#[from] EndpointListError),
     /// Memory or a loopback socket cannot be used.
     #[error("measuring is not possible here: {0}")]
     Io(#[from] io::Error),
@@ -281,12 +281,13 @@
     }
 
     /// Reads a list and takes it in, as a real gateway does: how long that took.
-    fn take_in(&mut self, text: &str) -> Result<Duration, ListError> {
+    fn take_in(&mut self, text: &str) -> Result<Duration, EndpointListError> {
         let begun = Instant::now();
-        let list = List::parse(text.as_bytes())?;
+        let list = EndpointList::parse(text.as_bytes())?;
         self.table.update(&list);
-        let entries = list.hosts.into_iter().map(|h| h.entry).collect();
-        let event = if list.whole { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) };
+        let entries = list.endpoints.into_iter().map(|h| h.entry).collect();
+        let event =
+            if list.is_snapshot { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) };
         self.gateway.handle(self.now, event, &mut Vec::new());
         Ok(begun.elapsed())
     }
@@ -555,9 +556,8 @@
         let (_address, place) = tokio::sync::watch::channel(listener.local_addr()?);
         let table = table(Duration::from_secs(15));
         let settings = Settings { has_counter: false, ..settings(gateways(servers), 1) };
-        let engine = Engine::start(settings, 7, table.clone(), None)?;
-        let pace = Pace::of(false, Duration::ZERO);
-        tokio::task::spawn_local(watch(place, 0, 7, pace, table, engine));
+        let engine = Engine::start(settings, 7, table, None)?;
+        tokio::task::spawn_local(watch_endpoints(place, 0, 7, PollTiming::SHARED_SERVICE, engine));
         Ok(tokio::time::timeout(NOT_READ, taken(&listener, &list)).await.unwrap_or(Ok(None))?)
     })
 }
--- a/fleet/src/world.rs
+++ b/fleet/src/world.rs
@@ -9,7 +9,7 @@
 use crate::random::Random;
 use crate::report::{Reason, Report, Scaled, Tally};
 use crate::servers::{Job, Life, Servers};
-use ryefront_gateway::discovery::ListError;
+use ryefront_gateway::discovery::EndpointListError;
 use ryefront_policy::{
     Action, Arrival, AttemptEnd, CounterResult, EndpointState, Event, LoadReport, Millis, Name, Outcome,
     SettingsError,
@@ -34,7 +34,7 @@
     Settings(#[from] SettingsError),
     /// The real parser does not take a list.
     #[error("the gateways' parser does not take the model's list: {0}")]
-    List(#[from] ListError),
+    List(#[from] EndpointListError),
 }
 
 /// Something that happens.
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -1,8 +1,8 @@
 //! What a gateway is told at its start: the environment and the file that `NODE_CONFIG` names.
 
 use crate::clock::{millis, span};
-use crate::discovery::backoff::Pace;
-use crate::discovery::{List, ListError};
+use crate::discovery::backoff::{DiscoveryService, PollTiming};
+use crate::discovery::{EndpointList, EndpointListError};
 use ryefront_policy::Settings;
 use ryefront_settings::{Object, ReadError};
 use serde::Deserialize;
@@ -32,7 +32,7 @@
     /// The seed is not a number of up to 16 hex digits.
     Seed,
     /// The list of endpoints in it cannot be used.
-    Known(ListError),
+    Known(EndpointListError),
     /// The settings cannot be used.
     Settings(ReadError),
 }
@@ -83,7 +83,7 @@
     /// Where discovery is asked.
     pub discovery: SocketAddr,
     /// How often discovery is asked.
-    pub pace: Pace,
+    pub poll_timing: PollTiming,
     /// Where the counter is, if there is one.
     pub counter: Option<SocketAddr>,
     /// The seed of all chance.
@@ -91,7 +91,7 @@
     /// The most descriptors that the process may hold.
     pub sockets: usize,
     /// The list of endpoints as this gateway last had it.
-    pub known: List,
+    pub known: EndpointList,
     /// A connection that takes longer has failed.
     pub connect_timeout: Duration,
     /// Endpoints close connections that stood idle for this long.
@@ -146,10 +146,11 @@
         };
         let rules = Object::of(&file.settings, "rules").map_err(ConfigError::Settings)?;
         let grace = span(rules.number("drain-grace-ms").map_err(ConfigError::Settings)?);
-        let pace = Pace::of(!settings.polls_endpoints, grace);
+        let service =
+            if settings.polls_endpoints { DiscoveryService::Shared } else { DiscoveryService::LocalAgent };
         let known = match &file.known {
-            Value::Null => List { seq: 0, whole: true, hosts: Vec::new() },
-            value => List::from_value(value).map_err(ConfigError::Known)?,
+            Value::Null => EndpointList { version: 0, is_snapshot: true, endpoints: Vec::new() },
+            value => EndpointList::from_value(value).map_err(ConfigError::Known)?,
         };
         let connect_timeout = time("dial-timeout-ms", CONNECT_TIMEOUT)?;
         settings.connect_timeout = millis(connect_timeout);
@@ -161,7 +162,7 @@
             name: choose("NODE_NAME", Some(file.name)).unwrap_or_default(),
             listen: address(choose("NODE_LISTEN", file.listen), "NODE_LISTEN")?,
             discovery: address(choose("NODE_DISCOVERY", file.discovery), "NODE_DISCOVERY")?,
-            pace,
+            poll_timing: PollTiming::new(service, grace),
             counter,
             seed: u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed)?,
             sockets: file.limits.sockets.unwrap_or(SOCKETS),
--- a/gateway/src/discovery/backoff.rs
+++ b/gateway/src/discovery/backoff.rs
@@ -1,135 +1,154 @@
-//! How long calls to discovery may take and how far they are apart, after any mix of failures.
+//! Timeouts of polls to discovery and the backoff between them.
+//!
+//! They bound how late a gateway learns of a change after any sequence of failures.
 
 use std::time::Duration;
 
-/// A connection to discovery comes up within this or has failed.
+/// The timeout of a connection attempt to discovery.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Between calls after a failure: a watch lasts as long as the next call comes within 200 ms.
-const PAUSE: Duration = Duration::from_millis(100);
-/// The longest limit of a call that does not wait, however often answers came too late.
-const LONGEST_CALL: Duration = Duration::from_millis(1400);
-/// An answer that has begun is whole within this share of the limit. Less than all of it, so that an answer that is
-/// merely long is told from none.
-const WHOLE_SHARE: f64 = 0.8;
+/// The delay after a failure: discovery keeps a watch open for 200 ms between two polls.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// The longest timeout of a poll that does not wait for changes, however many responses were late.
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1400);
+/// A response that has begun is complete within this fraction of the response timeout. It is below 1, so that
+/// a response that takes too long is distinguished from none.
+const COMPLETION_FRACTION: f64 = 0.8;
 
 /// Capped exponential backoff with jitter.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Backoff {
-    /// The pause after the first failure, without jitter.
-    pub first: Duration,
-    /// No pause is longer.
-    pub cap: Duration,
+pub struct ExponentialBackoff {
+    /// The delay after the first failure, without jitter.
+    pub initial: Duration,
+    /// The longest delay.
+    pub max: Duration,
 }
 
-impl Backoff {
-    /// The pause after so many failures in a row: doubled with each up to the cap, and from the second on between a
-    /// half and all of that, as `chance` from 0 to 1 says, so that gateways that failed together do not come again
-    /// together.
-    pub fn pause(&self, failures: u32, chance: f64) -> Duration {
+impl ExponentialBackoff {
+    /// The delay after so many consecutive failures. It doubles with each up to the maximum; from the second
+    /// failure on it is between a half and all of that, as `jitter` from 0 to 1 selects, so that gateways
+    /// that failed together do not retry together.
+    pub fn delay(&self, failures: u32, jitter: f64) -> Duration {
         let doublings = failures.saturating_sub(1).min(16);
-        let longest = self.first.saturating_mul(1 << doublings).min(self.cap.max(self.first));
-        if doublings == 0 { self.first } else { longest.mul_f64(0.5 + 0.5 * chance) }
+        let longest = self.initial.saturating_mul(1 << doublings).min(self.max.max(self.initial));
+        if doublings == 0 { self.initial } else { longest.mul_f64(0.5 + 0.5 * jitter) }
     }
 }
 
-/// How often discovery is asked, and how long an answer is waited for.
+/// Who answers the polls.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DiscoveryService {
+    /// One service that all gateways poll.
+    Shared,
+    /// An agent on the gateway's own machine, to which changes are pushed.
+    LocalAgent,
+}
+
+/// How often discovery is polled, and how long a response is waited for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
-    /// How long one call of the watch may wait for news. Guards drains against answers that never come: a call that
-    /// is lost looks like one without news until its wait is over.
-    pub wait: Duration,
-    /// A call that is silent for this much longer has been lost.
-    pub patience: Duration,
-    /// Silence in a row doubles the patience up to this.
-    pub longest_silence: Duration,
-    /// The pauses between calls that are turned away. Guards discovery against the fleet: when most gateways come
-    /// back at once it turns them away, and calls at a fixed pace from hundreds of them keep it too busy to answer
-    /// any. Who is silent is kept busy by nobody: there the pause stays the first.
-    pub backoff: Backoff,
+pub struct PollTiming {
+    /// How long one poll may wait for changes. It bounds how long a lost poll goes unnoticed, as that looks
+    /// like a poll without changes until its wait is over.
+    pub max_wait: Duration,
+    /// A poll without a response this long after its wait is lost.
+    pub response_timeout: Duration,
+    /// Consecutive polls without a response double the timeout up to this.
+    pub max_response_timeout: Duration,
+    /// The delay after polls that were rejected. When most gateways reconnect at once, discovery rejects
+    /// them, and retries of hundreds of gateways at a fixed interval would keep it overloaded. After other
+    /// failures the delay remains the initial one, as a service that does not respond is not overloaded by
+    /// its rejections.
+    pub backoff: ExponentialBackoff,
 }
 
-impl Pace {
-    /// Where lists must be asked for, all gateways ask one service, and what it has counts as told 6 s after it
-    /// could be reached. What may be out or awaited by then, one more failure of any kind and the call that is
-    /// answered fit into that, with some time to spare for a gateway short of processor time. A discovery that is
-    /// merely slow is waited for longer from call to call: else its answers would never be heard.
-    pub const ASKING: Self = Self {
-        wait: Duration::from_secs(1),
-        patience: Duration::from_millis(500),
-        longest_silence: LONGEST_CALL,
-        backoff: Backoff { first: PAUSE, cap: Duration::from_millis(1500) },
+impl PollTiming {
+    /// The timing for a shared service. A change must be known within 6 s of when the service could be
+    /// reached. A poll or delay in progress at that time, one more failure of any kind, and a successful poll
+    /// fit into that, with a margin for a gateway short of CPU time. The timeout grows from poll to poll, as
+    /// a slow service would otherwise never be heard.
+    pub const SHARED_SERVICE: Self = Self {
+        max_wait: Duration::from_secs(1),
+        response_timeout: Duration::from_millis(500),
+        max_response_timeout: MAX_RESPONSE_TIMEOUT,
+        backoff: ExponentialBackoff { initial: RECONNECT_DELAY, max: Duration::from_millis(1500) },
     };
 
-    /// Where lists are pushed, an agent beside each gateway answers at once and at no cost, and what it has counts
-    /// as told whether or not a call is out. So the worst there is, a call lost when the agent fell silent and found
-    /// out only after it came back, a pause, and one call that is answered, fits into the drains' grace.
-    pub fn of(pushed: bool, drain_grace: Duration) -> Self {
-        if !pushed || drain_grace.is_zero() {
-            return Self::ASKING;
+    /// The timing for a service. A local agent responds at once, and what it has counts as known whether or
+    /// not a poll is in progress. So a poll that was lost when the agent stopped responding, noticed only
+    /// after it recovered, a delay, and a successful poll fit into the drain grace period.
+    pub fn new(service: DiscoveryService, drain_grace: Duration) -> Self {
+        let shared = Self::SHARED_SERVICE;
+        if service == DiscoveryService::Shared || drain_grace.is_zero() {
+            return shared;
         }
-        let patience = Self::ASKING.patience.min(drain_grace / 4);
+        let response_timeout = shared.response_timeout.min(drain_grace / 4);
         Self {
-            wait: Self::ASKING.wait.min(drain_grace / 3),
-            patience,
-            longest_silence: patience,
-            backoff: Backoff { first: PAUSE, cap: Self::ASKING.backoff.cap.min(drain_grace / 4) },
+            max_wait: shared.max_wait.min(drain_grace / 3),
+            response_timeout,
+            max_response_timeout: response_timeout,
+            backoff: ExponentialBackoff {
+                initial: RECONNECT_DELAY,
+                max: shared.backoff.max.min(drain_grace / 4),
+            },
         }
     }
 }
 
-/// How a call failed, as far as the next one depends on it.
+/// How a poll failed, as far as the next one depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
-    /// The connection did not come up or broke.
-    Lost,
-    /// Nothing came in time.
-    Silent,
-    /// An answer began in time but was not whole in time.
-    Unfinished,
-    /// Discovery is there, but does not give the list, or none that can be read.
-    TurnedAway,
+pub enum PollFailure {
+    /// The connection was not established, or broke.
+    ConnectionLost,
+    /// No response began in time.
+    NoResponse,
+    /// A response began in time but was not complete in time.
+    Incomplete,
+    /// Discovery responded, but with no list or an invalid one.
+    Rejected,
 }
 
-/// Where the calls stand after the failures so far.
+/// The timeout of the next poll and the delay before it, by the failures since the last success.
 #[derive(Clone, Debug)]
-pub struct Retry {
-    pace: Pace,
-    turned_away: u32,
-    limit: Duration,
+pub struct PollBackoff {
+    timing: PollTiming,
+    consecutive_rejections: u32,
+    response_timeout: Duration,
 }
 
-impl Retry {
-    /// No failures yet.
-    pub fn new(pace: Pace) -> Self {
-        Self { pace, turned_away: 0, limit: pace.patience }
+impl PollBackoff {
+    /// The state before any failure.
+    pub fn new(timing: PollTiming) -> Self {
+        Self { timing, consecutive_rejections: 0, response_timeout: timing.response_timeout }
     }
 
-    /// How long a call that may wait for `wait` takes at most, its answer included.
-    pub fn limit(&self, wait: Duration) -> Duration {
-        wait + self.limit
+    /// The timeout of a poll that may wait for changes for `wait`, its response included.
+    pub fn poll_timeout(&self, wait: Duration) -> Duration {
+        wait + self.response_timeout
     }
 
-    /// How long an answer takes at most once it has begun.
-    pub fn whole(&self) -> Duration {
-        self.limit.mul_f64(WHOLE_SHARE)
+    /// The timeout of a response once it has begun.
+    pub fn completion_timeout(&self) -> Duration {
+        self.response_timeout.mul_f64(COMPLETION_FRACTION)
     }
 
-    /// Notes a list that was read.
-    pub fn answered(&mut self) {
-        *self = Self::new(self.pace);
+    /// Records a list that was received.
+    pub fn record_success(&mut self) {
+        *self = Self::new(self.timing);
     }
 
-    /// Notes a failure; tells the pause before the next connection. `chance` is from 0 to 1.
-    pub fn failed(&mut self, failure: Failure, chance: f64) -> Duration {
-        self.turned_away = if failure == Failure::TurnedAway { self.turned_away + 1 } else { 0 };
-        // Whoever turns calls away answers in time. So the longest limits and the longest pauses never come
-        // together.
-        self.limit = match failure {
-            Failure::Lost => self.limit,
-            Failure::Silent => (self.limit * 2).min(self.pace.longest_silence),
-            Failure::Unfinished => (self.limit * 2).min(LONGEST_CALL),
-            Failure::TurnedAway => self.pace.patience,
+    /// Records a failure and returns the delay before the next connection. `jitter` is from 0 to 1.
+    pub fn record_failure(&mut self, failure: PollFailure, jitter: f64) -> Duration {
+        self.consecutive_rejections = match failure {
+            PollFailure::Rejected => self.consecutive_rejections + 1,
+            _ => 0,
+        };
+        // A service that rejects polls responds in time. So the longest timeouts and the longest delays never
+        // add up.
+        self.response_timeout = match failure {
+            PollFailure::ConnectionLost => self.response_timeout,
+            PollFailure::NoResponse => (self.response_timeout * 2).min(self.timing.max_response_timeout),
+            PollFailure::Incomplete => (self.response_timeout * 2).min(MAX_RESPONSE_TIMEOUT),
+            PollFailure::Rejected => self.timing.response_timeout,
         };
-        self.pace.backoff.pause(self.turned_away, chance)
+        self.timing.backoff.delay(self.consecutive_rejections, jitter)
     }
 }
--- /dev/null
+++ b/gateway/src/discovery/endpoint_list.rs
@@ -0,0 +1,162 @@
+//! The endpoint list as discovery writes it: a snapshot, or a delta to an earlier version.
+
+use ryefront_policy::{EndpointEntry, EndpointState, Name};
+use serde::Deserialize;
+use serde_json::Value;
+use std::borrow::Cow;
+use std::net::SocketAddr;
+
+/// The most endpoints that a list may hold.
+const MAX_ENDPOINTS: usize = 1 << 15;
+/// The most bytes of one entry, indentation included.
+const MAX_ENTRY_BYTES: usize = 512;
+/// The most bytes of a list.
+pub const MAX_LIST_BYTES: usize = MAX_ENDPOINTS * MAX_ENTRY_BYTES;
+
+/// The endpoint list, or changes to it.
+#[derive(Clone, Debug)]
+pub struct EndpointList {
+    /// The version that this list leads to.
+    pub version: u64,
+    /// Whether endpoints that are missing from it are removed.
+    pub is_snapshot: bool,
+    /// The entries; of several for one endpoint the last one counts.
+    pub endpoints: Vec<ListedEndpoint>,
+}
+
+/// One endpoint and its address.
+#[derive(Clone, Debug)]
+pub struct ListedEndpoint {
+    /// What the policy needs to know.
+    pub entry: EndpointEntry,
+    /// Where this gateway connects to it.
+    pub address: SocketAddr,
+}
+
+/// Why an endpoint list cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum EndpointListError {
+    /// It is not JSON, or a field is missing or of the wrong type.
+    #[error("malformed endpoint list: {0}")]
+    Malformed(#[from] serde_json::Error),
+    /// An entry has an empty name.
+    #[error("entry {index} of the endpoint list: the name is empty")]
+    EmptyName {
+        /// The position of the entry, from 0.
+        index: usize,
+    },
+    /// An entry has no valid address.
+    #[error("endpoint {endpoint}: address {address:?}, expected an IP address and a port")]
+    InvalidAddress {
+        /// The name of the endpoint.
+        endpoint: String,
+        /// The value received.
+        address: String,
+    },
+}
+
+impl EndpointList {
+    /// Parses a list from JSON text.
+    ///
+    /// # Errors
+    /// When any part of it is invalid.
+    pub fn parse(text: &[u8]) -> Result<Self, EndpointListError> {
+        serde_json::from_slice::<WireList>(text)?.decode()
+    }
+
+    /// Parses a list from a JSON value.
+    ///
+    /// # Errors
+    /// When any part of it is invalid.
+    pub fn from_value(value: &Value) -> Result<Self, EndpointListError> {
+        WireList::deserialize(value)?.decode()
+    }
+}
+
+/// A list as it is written. Strings are borrowed from the text where they need no unescaping, as lists are
+/// long.
+#[derive(Deserialize)]
+struct WireList<'a> {
+    #[serde(rename = "seq")]
+    version: u64,
+    #[serde(rename = "whole")]
+    is_snapshot: bool,
+    #[serde(borrow, rename = "hosts")]
+    entries: Vec<WireEntry<'a>>,
+}
+
+/// One entry as it is written.
+#[derive(Deserialize)]
+struct WireEntry<'a> {
+    #[serde(borrow, rename = "host")]
+    name: Cow<'a, str>,
+    #[serde(borrow, rename = "dial")]
+    address: Cow<'a, str>,
+    #[serde(borrow, default, rename = "site")]
+    zone: Cow<'a, str>,
+    #[serde(default, rename = "block")]
+    cell: u64,
+    #[serde(rename = "health")]
+    state: WireState,
+    #[serde(default, rename = "born_ms")]
+    started_at: f64,
+}
+
+#[derive(Clone, Copy, Deserialize)]
+enum WireState {
+    #[serde(rename = "in_service")]
+    Ready,
+    #[serde(rename = "terminating")]
+    Draining,
+    #[serde(rename = "terminated")]
+    Removed,
+}
+
+impl WireList<'_> {
+    fn decode(self) -> Result<EndpointList, EndpointListError> {
+        let mut last_zone = Name::from("");
+        let entries = self.entries.into_iter().enumerate();
+        let endpoints = entries.map(|(index, entry)| entry.decode(index, &mut last_zone));
+        Ok(EndpointList {
+            version: self.version,
+            is_snapshot: self.is_snapshot,
+            endpoints: endpoints.collect::<Result<_, _>>()?,
+        })
+    }
+}
+
+impl WireEntry<'_> {
+    /// Decodes the entry at `index`. Adjacent entries mostly name the same zone, so they share the
+    /// `last_zone`'s text.
+    fn decode(self, index: usize, last_zone: &mut Name) -> Result<ListedEndpoint, EndpointListError> {
+        if self.name.is_empty() {
+            return Err(EndpointListError::EmptyName { index });
+        }
+        let Ok(address) = self.address.parse() else {
+            let (endpoint, address) = (self.name.into(), self.address.into());
+            return Err(EndpointListError::InvalidAddress { endpoint, address });
+        };
+        if **last_zone != *self.zone {
+            *last_zone = self.zone.into();
+        }
+        let entry = EndpointEntry {
+            name: self.name.into(),
+            zone: last_zone.clone(),
+            cell: self.cell,
+            state: self.state.into(),
+            // 0 means long ago, at an unknown time.
+            started_at: (self.started_at > 0.0).then_some(self.started_at),
+        };
+        Ok(ListedEndpoint { entry, address })
+    }
+}
+
+impl From<WireState> for EndpointState {
+    fn from(state: WireState) -> Self {
+        match state {
+            WireState::Ready => Self::Ready,
+            WireState::Draining => Self::Draining,
+            WireState::Removed => Self::Removed,
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/discovery/watch.rs
@@ -0,0 +1,205 @@
+//! Follows the endpoint list by long polls, on one connection for as long as it works.
+//!
+//! While discovery cannot be reached, the last list remains in effect.
+
+use crate::discovery::backoff::{CONNECT_TIMEOUT, PollBackoff, PollFailure, PollTiming};
+use crate::discovery::endpoint_list::{EndpointList, EndpointListError, MAX_LIST_BYTES};
+use crate::headers::ENDPOINT_LIST_PATH;
+use crate::http_connection::{Connection, Progress};
+use crate::log;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::HOST;
+use hyper::{Request, StatusCode};
+use std::convert::Infallible;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::watch;
+use tokio::task::yield_now;
+use tokio::time::{Instant, sleep, timeout};
+
+/// Whoever acts on the endpoint list.
+pub trait EndpointListSink {
+    /// Applies a snapshot or a delta. Lists come in the order of their versions.
+    fn apply(&self, list: EndpointList);
+}
+
+/// Watches the endpoint list forever, at the latest value of `address`. `version` is that of the
+/// list already known, and `seed` that of the jitter.
+pub async fn watch_endpoints(
+    mut address: watch::Receiver<SocketAddr>, version: u64, seed: u64, timing: PollTiming,
+    sink: Rc<dyn EndpointListSink>,
+) {
+    let mut watcher = Watcher {
+        timing,
+        sink,
+        known_version: Some(version),
+        jitter: fastrand::Rng::with_seed(seed),
+        logged: LoggedKinds::default(),
+    };
+    loop {
+        let current = *address.borrow_and_update();
+        tokio::select! {
+            () = watcher.watch_at(current) => {}
+            Ok(()) = address.changed() => {}
+        }
+        // Another service may count its versions differently, so it is asked for a snapshot.
+        watcher.known_version = None;
+    }
+}
+
+/// Why a connection to discovery was closed.
+#[derive(Debug, thiserror::Error)]
+enum WatchError {
+    #[error("no connection")]
+    ConnectFailed,
+    #[error("the poll is not a valid request: {0}")]
+    InvalidRequest(#[from] hyper::http::Error),
+    #[error("the connection broke")]
+    ConnectionBroken,
+    #[error("the connection was closed")]
+    ConnectionClosed,
+    #[error("no response in time")]
+    NoResponse,
+    #[error("the response was not complete in time")]
+    Incomplete,
+    #[error("status {0}, expected 200 OK")]
+    UnexpectedStatus(StatusCode),
+    #[error("{0}; the previous list is kept")]
+    InvalidList(#[from] EndpointListError),
+}
+
+/// Errors of one kind are logged once.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum WatchErrorKind {
+    Unreachable,
+    UnexpectedStatus,
+    InvalidList,
+}
+
+impl WatchError {
+    fn kind(&self) -> WatchErrorKind {
+        match self {
+            Self::UnexpectedStatus(_) => WatchErrorKind::UnexpectedStatus,
+            Self::InvalidList(_) => WatchErrorKind::InvalidList,
+            _ => WatchErrorKind::Unreachable,
+        }
+    }
+
+    fn poll_failure(&self) -> PollFailure {
+        match self {
+            Self::NoResponse => PollFailure::NoResponse,
+            Self::Incomplete => PollFailure::Incomplete,
+            Self::UnexpectedStatus(_) | Self::InvalidList(_) => PollFailure::Rejected,
+            Self::ConnectFailed
+            | Self::InvalidRequest(_)
+            | Self::ConnectionBroken
+            | Self::ConnectionClosed => PollFailure::ConnectionLost,
+        }
+    }
+}
+
+/// The kinds of errors that have been logged.
+#[derive(Default)]
+struct LoggedKinds(Vec<WatchErrorKind>);
+
+impl LoggedKinds {
+    /// Logs the first error of each kind.
+    fn log_once(&mut self, error: &WatchError) {
+        let kind = error.kind();
+        if !self.0.contains(&kind) {
+            self.0.push(kind);
+            log::write(format_args!("discovery: {error} (logged once)"));
+        }
+    }
+}
+
+/// The state of the watch over all addresses and connections.
+struct Watcher {
+    timing: PollTiming,
+    sink: Rc<dyn EndpointListSink>,
+    /// The version to poll for changes after; none to poll for a snapshot.
+    known_version: Option<u64>,
+    jitter: fastrand::Rng,
+    logged: LoggedKinds,
+}
+
+impl Watcher {
+    /// Watches at one address forever, on one connection after another.
+    async fn watch_at(&mut self, address: SocketAddr) {
+        let mut backoff = PollBackoff::new(self.timing);
+        loop {
+            let Err(error) = self.watch_on_new_connection(address, &mut backoff).await;
+            self.logged.log_once(&error);
+            let delay = backoff.record_failure(error.poll_failure(), self.jitter.f64());
+            sleep(delay).await;
+        }
+    }
+
+    /// Connects and polls again and again until that fails.
+    async fn watch_on_new_connection(
+        &mut self, address: SocketAddr, backoff: &mut PollBackoff,
+    ) -> Result<Infallible, WatchError> {
+        let connecting = Connection::connect(address, CONNECT_TIMEOUT);
+        let mut connection = connecting.await.map_err(|_| WatchError::ConnectFailed)?;
+        // The first poll does not wait: it shows at once whether the service responds, and returns what was
+        // missed.
+        let mut wait = Duration::ZERO;
+        loop {
+            let request = self.poll_request(address, wait)?;
+            let list = poll(&mut connection, request, wait, backoff).await?;
+            self.update_known_version(&list);
+            wait = self.timing.max_wait;
+            backoff.record_success();
+            self.sink.apply(list);
+            if !connection.is_reusable().await {
+                return Err(WatchError::ConnectionClosed);
+            }
+        }
+    }
+
+    fn poll_request(
+        &self, address: SocketAddr, wait: Duration,
+    ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
+        let uri = match self.known_version {
+            Some(version) => {
+                format!("{ENDPOINT_LIST_PATH}?after={version}&wait_ms={}", wait.as_millis())
+            }
+            None => ENDPOINT_LIST_PATH.into(),
+        };
+        Request::get(uri).header(HOST, address.to_string()).body(Full::default())
+    }
+
+    /// Records the version of a list. A delta of a lower version comes from a service that has restarted; the
+    /// next poll is for a snapshot then, as the restarted service may have other endpoints too.
+    fn update_known_version(&mut self, list: &EndpointList) {
+        let restarted = !list.is_snapshot && self.known_version.is_some_and(|known| list.version < known);
+        self.known_version = (!restarted).then_some(list.version);
+    }
+}
+
+/// Sends one poll and returns the list that it brings.
+async fn poll(
+    connection: &mut Connection, request: Request<Full<Bytes>>, wait: Duration, backoff: &PollBackoff,
+) -> Result<EndpointList, WatchError> {
+    let started_at = Instant::now();
+    let completion_timeout = backoff.completion_timeout();
+    let exchange = connection.exchange(request, MAX_LIST_BYTES, completion_timeout, None);
+    let (head, body) = match timeout(backoff.poll_timeout(wait), exchange).await {
+        Ok(Ok(response)) => response,
+        Ok(Err(Progress::Spoilt)) if started_at.elapsed() >= completion_timeout => {
+            return Err(WatchError::Incomplete);
+        }
+        Ok(Err(_)) => return Err(WatchError::ConnectionBroken),
+        Err(_) => return Err(WatchError::NoResponse),
+    };
+    if head.status != StatusCode::OK {
+        return Err(WatchError::UnexpectedStatus(head.status));
+    }
+    let list = EndpointList::parse(&body);
+    drop(body);
+    // Parsing and applying a long list are two steps, so that other tasks run in between.
+    yield_now().await;
+    Ok(list?)
+}
--- a/gateway/src/endpoint/mod.rs
+++ b/gateway/src/endpoint/mod.rs
@@ -3,7 +3,7 @@
 pub mod pool;
 
 use crate::clock::millis;
-use crate::discovery::List;
+use crate::discovery::EndpointList;
 use crate::endpoint::pool::Pool;
 use crate::http_connection::{Connection, Progress};
 use crate::socket::{ConnectError, Socket};
@@ -187,16 +187,16 @@
 
     /// Takes in a list, in time that follows its length; if it is whole, that of the last whole one too. Free
     /// connections to what drains, is gone or listens elsewhere now are dropped.
-    pub fn update(&self, list: &List) {
+    pub fn update(&self, list: &EndpointList) {
         let (mut known, mut pool) = (self.known.borrow_mut(), self.pool.borrow_mut());
         let (told, heard) = (self.lists.get() + 1, Instant::now());
         self.lists.set(told);
-        if list.whole {
-            let new = list.hosts.len().saturating_sub(known.len());
+        if list.is_snapshot {
+            let new = list.endpoints.len().saturating_sub(known.len());
             known.reserve(new);
         }
-        for host in &list.hosts {
-            let (name, dial) = (&host.entry.name, host.dial);
+        for host in &list.endpoints {
+            let (name, dial) = (&host.entry.name, host.address);
             if host.entry.state == EndpointState::Removed {
                 known.remove(name);
                 pool.clear(name);
@@ -209,7 +209,7 @@
             }
             (endpoint.ready, endpoint.dial, endpoint.told) = (ready, dial, told);
         }
-        if list.whole {
+        if list.is_snapshot {
             known.retain(|name, endpoint| {
                 let stays = endpoint.told == told;
                 if !stays {
--- a/gateway/src/engine.rs
+++ b/gateway/src/engine.rs
@@ -3,6 +3,7 @@
 
 use crate::clock::{Clock, millis, span};
 use crate::counter::{CompletedCall, CounterClient};
+use crate::discovery::{EndpointList, EndpointListSink};
 use crate::endpoint::{Answer, End, EndpointRegistry, Message};
 use crate::log;
 use crate::socket::Socket;
@@ -319,6 +320,17 @@
     }
 }
 
+impl EndpointListSink for Engine {
+    /// Updates the connections before the policy, so that no attempt is forwarded by an older list.
+    fn apply(&self, list: EndpointList) {
+        self.endpoints.update(&list);
+        let entries = list.endpoints.into_iter().map(|endpoint| endpoint.entry).collect();
+        let event =
+            if list.is_snapshot { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) };
+        self.post(event);
+    }
+}
+
 /// Keeps an engine's clock in agreement with the fleet's, for as long as the engine is there.
 async fn keep_agreeing(engine: Weak<Engine>) {
     if let Some(engine) = engine.upgrade() {
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -4,7 +4,7 @@
 
 use ryefront_gateway::client::Server;
 use ryefront_gateway::config::Config;
-use ryefront_gateway::discovery;
+use ryefront_gateway::discovery::{EndpointListSink, watch_endpoints};
 use ryefront_gateway::endpoint::EndpointRegistry;
 use ryefront_gateway::engine::Engine;
 use ryefront_gateway::log;
@@ -101,11 +101,11 @@
         Err(error) => return unusable(&error),
     };
     let server = Server::new(engine.clone(), &settings, most_clients);
-    let seq = config.known.seq;
-    discovery::tell(config.known, &endpoints, &engine);
-    spawn(endpoints.clone().keep_tidy());
+    let version = config.known.version;
+    engine.apply(config.known);
+    spawn(endpoints.keep_tidy());
     let (moved, discovery) = watch::channel(config.discovery);
-    spawn(discovery::watch(discovery, seq, config.seed, config.pace, endpoints, engine.clone()));
+    spawn(watch_endpoints(discovery, version, config.seed, config.poll_timing, engine.clone()));
     spawn(reload(signals.clone(), moved, engine));
     if let Ok(address) = listener.local_addr() {
         log::write(format_args!("ryefront-gateway {}: listening at {address}", config.name));
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -196,7 +196,7 @@
 async fn a_list_that_cannot_be_read_is_told_once_also_after_other_faults() {
     let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
     let world = World::with(&[&endpoint]).await;
-    until("a fault", || world.gateway.log_lines("discovery: silent") == 1).await;
+    until("a fault", || world.gateway.log_lines("discovery: no response in time") == 1).await;
     for (seq, text) in [(2, "{"), (3, r#"{"seq":3,"whole":true,"hosts":[{"host":"b","dial":"nowhere"}]}"#)] {
         world.discovery.tell(text.into());
         world.discovery.taken_in().await;
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -3,8 +3,10 @@
 mod helper;
 
 use helper::{Do, Endpoint, World, list, ok, refusing, row};
-use ryefront_gateway::discovery::backoff::{CONNECT_TIMEOUT, Failure, Pace, Retry};
-use ryefront_gateway::discovery::{self, List};
+use ryefront_gateway::discovery::backoff::{
+    CONNECT_TIMEOUT, DiscoveryService, PollBackoff, PollFailure, PollTiming,
+};
+use ryefront_gateway::discovery::{EndpointList, watch_endpoints};
 use ryefront_gateway::endpoint::EndpointRegistry;
 use ryefront_gateway::engine::Engine;
 use ryefront_policy::LoadReportSource;
@@ -13,7 +15,7 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-const LONGEST_PAUSE: Duration = Pace::ASKING.backoff.cap;
+const LONGEST_PAUSE: Duration = PollTiming::SHARED_SERVICE.backoff.max;
 /// What discovery has counts as told this long after it could be reached.
 const TOLD: Duration = Duration::from_secs(6);
 /// Of that, what a gateway short of processor time may need beside its time limits.
@@ -23,10 +25,12 @@
 fn being_turned_away_in_a_row_lengthens_the_pause_and_gateways_fall_out_of_step() {
     let pauses = |seed| {
         let mut chance = fastrand::Rng::with_seed(seed);
-        (1..=12).map(|times| Pace::ASKING.backoff.pause(times, chance.f64())).collect::<Vec<_>>()
+        (1..=12)
+            .map(|times| PollTiming::SHARED_SERVICE.backoff.delay(times, chance.f64()))
+            .collect::<Vec<_>>()
     };
     let (one, other) = (pauses(1), pauses(2));
-    assert_eq!(one[0], Pace::ASKING.backoff.first, "a watch outlives a single fault");
+    assert_eq!(one[0], PollTiming::SHARED_SERVICE.backoff.initial, "a watch outlives a single fault");
     assert!(one.iter().all(|p| *p <= LONGEST_PAUSE) && one[11] >= LONGEST_PAUSE / 2);
     assert!(one[..5].windows(2).filter(|w| w[0] < w[1]).count() >= 3, "{one:?}");
     assert!(one[1..].iter().zip(&other[1..]).all(|(a, b)| a != b), "{one:?} {other:?}");
@@ -37,39 +41,40 @@
 #[test]
 fn what_an_agent_has_when_it_comes_back_is_heard_within_the_grace_of_drains() {
     for grace in [400, 600, 1000, 2000, 30_000].map(Duration::from_millis) {
-        let pace = Pace::of(true, grace);
+        let pace = PollTiming::new(DiscoveryService::LocalAgent, grace);
         // The call that was out is lost the moment it is made. However often that went before: silence changes
         // nothing there.
-        let mut retry = Retry::new(pace);
+        let mut retry = PollBackoff::new(pace);
         for _ in 0..3 {
-            let lost = retry.limit(pace.wait) + retry.failed(Failure::Silent, 1.0);
+            let lost = retry.poll_timeout(pace.max_wait) + retry.record_failure(PollFailure::NoResponse, 1.0);
             assert!(lost < grace, "{lost:?} of {grace:?}");
         }
-        assert!(pace.backoff.cap <= grace / 2 && pace.wait <= Pace::ASKING.wait);
+        assert!(pace.backoff.max <= grace / 2 && pace.max_wait <= PollTiming::SHARED_SERVICE.max_wait);
     }
-    assert_eq!(Pace::of(false, Duration::from_secs(1)), Pace::ASKING);
-    assert_eq!(Pace::of(true, Duration::ZERO), Pace::ASKING);
+    assert_eq!(PollTiming::new(DiscoveryService::Shared, Duration::from_secs(1)), PollTiming::SHARED_SERVICE);
+    assert_eq!(PollTiming::new(DiscoveryService::LocalAgent, Duration::ZERO), PollTiming::SHARED_SERVICE);
 }
 
-const FAILURES: [Failure; 4] = [Failure::Lost, Failure::Silent, Failure::Unfinished, Failure::TurnedAway];
+const FAILURES: [PollFailure; 4] =
+    [PollFailure::ConnectionLost, PollFailure::NoResponse, PollFailure::Incomplete, PollFailure::Rejected];
 
 /// The longest time to the end of a call that is answered: `failures` further calls fail before in any way, each
 /// with a connection that comes up at the last moment, and as late as it can, with the longest pause behind.
-fn longest(retry: &Retry, failures: u32) -> Duration {
-    let call = CONNECT_TIMEOUT + retry.limit(Duration::ZERO);
+fn longest(retry: &PollBackoff, failures: u32) -> Duration {
+    let call = CONNECT_TIMEOUT + retry.poll_timeout(Duration::ZERO);
     let more = FAILURES.into_iter().filter(|_| failures > 0).map(|failure| {
         let mut retry = retry.clone();
-        retry.failed(failure, 1.0) + longest(&retry, failures - 1)
+        retry.record_failure(failure, 1.0) + longest(&retry, failures - 1)
     });
     call + more.max().unwrap_or_default()
 }
 
 /// The same for each place that up to `before` failures in any order lead to.
-fn longest_from_anywhere(retry: &Retry, before: u32, failures: u32) -> Duration {
+fn longest_from_anywhere(retry: &PollBackoff, before: u32, failures: u32) -> Duration {
     let here = longest(retry, failures);
     let more = FAILURES.into_iter().filter(|_| before > 0).map(|failure| {
         let mut retry = retry.clone();
-        retry.failed(failure, 1.0);
+        retry.record_failure(failure, 1.0);
         longest_from_anywhere(&retry, before - 1, failures)
     });
     here.max(more.max().unwrap_or_default())
@@ -79,12 +84,14 @@
 fn what_discovery_has_is_known_in_time_after_any_mix_of_failures() {
     // When discovery can be reached a call or a pause may be under way, and one more call may fail after that. A
     // pause alone is shorter than a call and the pause behind it.
-    let fresh = Retry::new(Pace::ASKING);
+    let fresh = PollBackoff::new(PollTiming::SHARED_SERVICE);
     let connecting = longest_from_anywhere(&fresh, 7, 2);
     // A call that waits is made only on a connection that has brought a list.
     let watching = FAILURES.into_iter().map(|failure| {
         let mut retry = fresh.clone();
-        fresh.limit(Pace::ASKING.wait) + retry.failed(failure, 1.0) + longest(&retry, 1)
+        fresh.poll_timeout(PollTiming::SHARED_SERVICE.max_wait)
+            + retry.record_failure(failure, 1.0)
+            + longest(&retry, 1)
     });
     let worst = connecting.max(watching.max().unwrap_or_default());
     println!("known {worst:?} after discovery could be reached, at the latest");
@@ -96,10 +103,11 @@
     let (from, to) = (Duration::from_secs(2), Duration::from_secs(30));
     let mut calls = Vec::new();
     for seed in 0..300 {
-        let (mut retry, mut chance) = (Retry::new(Pace::ASKING), fastrand::Rng::with_seed(seed));
+        let (mut retry, mut chance) =
+            (PollBackoff::new(PollTiming::SHARED_SERVICE), fastrand::Rng::with_seed(seed));
         let mut now = Duration::ZERO;
         while now < to {
-            now += retry.failed(Failure::TurnedAway, chance.f64());
+            now += retry.record_failure(PollFailure::Rejected, chance.f64());
             calls.push(now);
         }
     }
@@ -127,7 +135,7 @@
 /// Plays a watch on a discovery whose port refuses for so long, and which then acts by a list of deeds. Tells how long
 /// after the call number `reachable`, or after it began to listen, a call showed that the list of version 7 had been
 /// taken in.
-fn told_after(pace: Pace, seed: u64, refuses: Duration, deeds: &[Do], reachable: usize) -> Duration {
+fn told_after(pace: PollTiming, seed: u64, refuses: Duration, deeds: &[Do], reachable: usize) -> Duration {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     let runtime = runtime.expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
@@ -141,9 +149,9 @@
             ryefront_settings::read(&serde_json::from_str(settings).expect("JSON")).expect("settings");
         let endpoints =
             EndpointRegistry::new(Duration::from_secs(1), Duration::from_secs(1), LoadReportSource::None, 10);
-        let engine = Engine::start(settings, seed, endpoints.clone(), None).expect("an engine");
+        let engine = Engine::start(settings, seed, endpoints, None).expect("an engine");
         let (_moved, address) = watch::channel(at);
-        tokio::task::spawn_local(discovery::watch(address, 1, seed, pace, endpoints, engine));
+        tokio::task::spawn_local(watch_endpoints(address, 1, seed, pace, engine));
         let start = Instant::now();
         while start.elapsed() < refuses {
             step().await;
@@ -191,7 +199,8 @@
     let mut check = |refuses, failed: &[&Do]| {
         let mut deeds: Vec<_> = failed.iter().map(|deed| (*deed).clone()).collect();
         deeds.extend([Do::Say(ok(&news())), Do::Hang]);
-        let took = told_after(Pace::ASKING, seed, refuses, &deeds, failed.len().saturating_sub(1));
+        let took =
+            told_after(PollTiming::SHARED_SERVICE, seed, refuses, &deeds, failed.len().saturating_sub(1));
         assert!(took < TOLD, "{took:?}: {refuses:?}, {failed:?}");
         worst = worst.max(took);
     };
@@ -213,8 +222,8 @@
     let (start, end) = whole.split_at(whole.len() / 2);
     let pieces = Do::SayAndThen(start.into(), 800, end.into());
     // An agent has what it tells, so it never begins late.
-    let pushed = Pace::of(true, Duration::from_secs(1));
-    let asking = Pace::ASKING;
+    let pushed = PollTiming::new(DiscoveryService::LocalAgent, Duration::from_secs(1));
+    let asking = PollTiming::SHARED_SERVICE;
     for (pace, slow) in
         [(asking, Do::SayLater(800, whole.clone())), (asking, pieces.clone()), (pushed, pieces)]
     {
@@ -229,7 +238,8 @@
     let rows: Vec<_> = (0..26_000).map(|n| row(&format!("s-{n:08x}"), at, "in_service")).collect();
     for rows in [&rows[..], &rows[..100]] {
         let text = list(7, true, rows).replace(',', ",\r\n        ").replace('{', "{\r\n        ");
-        let took = told_after(Pace::ASKING, 1, Duration::ZERO, &[Do::SayLater(20, ok(&text))], 1);
+        let took =
+            told_after(PollTiming::SHARED_SERVICE, 1, Duration::ZERO, &[Do::SayLater(20, ok(&text))], 1);
         assert!(took < TOLD, "{took:?} for {} bytes", text.len());
     }
 }
@@ -253,8 +263,8 @@
 fn a_list_is_read_whole_or_not_at_all() {
     let at = "127.0.0.1:9".parse().expect("an address");
     let good = list(7, true, &[row("a", at, "in_service"), row("b", at, "terminating")]);
-    let read = List::parse(good.as_bytes()).expect("a list");
-    assert_eq!((read.seq, read.whole, read.hosts.len()), (7, true, 2));
+    let read = EndpointList::parse(good.as_bytes()).expect("a list");
+    assert_eq!((read.version, read.is_snapshot, read.endpoints.len()), (7, true, 2));
     for (part, spoilt) in [
         (r#""seq":7"#, r#""seq":-7"#),
         (r#""seq":7"#, r#""seq":7.5"#),
@@ -280,10 +290,10 @@
     ] {
         let text = good.replace(part, spoilt);
         assert_ne!(text, good);
-        assert!(List::parse(text.as_bytes()).is_err(), "{text}");
+        assert!(EndpointList::parse(text.as_bytes()).is_err(), "{text}");
     }
     let mut bytes = good.into_bytes();
     let name = bytes.iter().position(|b| *b == b'b').expect("a letter");
     bytes[name] = 0xff;
-    assert!(List::parse(&bytes).is_err());
+    assert!(EndpointList::parse(&bytes).is_err());
 }
