--- a/gateway/src/client/mod.rs
+++ b/gateway/src/client/mod.rs
@@ -3,7 +3,7 @@
 use crate::clock::millis;
 use crate::endpoint::{LARGEST_BODY, Message};
 use crate::engine::{Engine, Reply};
-use crate::socket::{Socket, is_local};
+use crate::socket::{SharedStream, is_local_error};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -119,11 +119,11 @@
     /// What came since, up to the end of a head.
     head: RefCell<Vec<u8>>,
     evict: Notify,
-    socket: Socket,
+    socket: SharedStream,
 }
 
 impl ClientConnection {
-    fn new(socket: Socket) -> Self {
+    fn new(socket: SharedStream) -> Self {
         Self {
             socket,
             busy: Cell::new(false),
@@ -190,7 +190,7 @@
 
 /// A client's socket as the HTTP library sees it.
 struct Tap {
-    socket: Socket,
+    socket: SharedStream,
     client: Rc<ClientConnection>,
 }
 
@@ -343,7 +343,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(_) if Instant::now() >= patience => return,
                 // Descriptors may be had again once some connections have ended.
-                Err(error) if is_local(&error) => sleep(ACCEPT_PAUSE).await,
+                Err(error) if is_local_error(&error) => sleep(ACCEPT_PAUSE).await,
                 Err(_) => {}
             }
         }
@@ -351,7 +351,7 @@
 
     fn serve_connection(self: Rc<Self>, stream: TcpStream, mut closing: watch::Receiver<u32>) {
         let _ = stream.set_nodelay(true);
-        let socket = Socket(Rc::new(stream));
+        let socket = SharedStream::new(stream);
         let client = Rc::new(ClientConnection::new(socket.clone()));
         self.connections.borrow_mut().push(client.clone());
         let round = *closing.borrow();
@@ -424,12 +424,12 @@
                     // It is looked for before anything is decided too: many who ask and go at once would crowd out
                     // others for as long as it takes to hear of it.
                     let decided = async {
-                        let gone = client.socket.has_left().await;
+                        let gone = client.socket.is_closed_by_peer().await;
                         if gone { None } else { Some(self.decide(parsed, client.socket.clone()).await) }
                     };
                     let answered = tokio::select! {
                         biased;
-                        () = client.socket.left() => None,
+                        () = client.socket.closed_by_peer() => None,
                         answered = decided => answered,
                     };
                     answered.unwrap_or_else(|| {
@@ -574,7 +574,7 @@
         }
     }
 
-    async fn decide(&self, parsed: ParsedRequest, client: Socket) -> Response<Full<Bytes>> {
+    async fn decide(&self, parsed: ParsedRequest, client: SharedStream) -> Response<Full<Bytes>> {
         let ParsedRequest { class, plan, tenant, units, spread, first, repeat, patience, message } = parsed;
         let margin = MARGIN.min(patience.mul_f64(MARGIN_SHARE));
         let (patience, now) = (patience - margin, Instant::now());
--- a/gateway/src/endpoint/mod.rs
+++ b/gateway/src/endpoint/mod.rs
@@ -6,7 +6,7 @@
 use crate::discovery::EndpointList;
 use crate::endpoint::pool::Pool;
 use crate::http_connection::{Connection, Progress};
-use crate::socket::{ConnectError, Socket};
+use crate::socket::{ConnectError, SharedStream};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
@@ -236,7 +236,7 @@
     /// once the `client` has left. Its last byte is written before `written_by`, or it is given up.
     pub async fn attempt(
         &self, name: &Name, message: Message, until: Instant, written_by: Option<Instant>,
-        called_off: oneshot::Receiver<()>, client: &Socket,
+        called_off: oneshot::Receiver<()>, client: &SharedStream,
     ) -> End {
         let build = |dial: SocketAddr| {
             let left = until.saturating_duration_since(Instant::now());
@@ -257,7 +257,7 @@
         let (begun, called_off) = (Instant::now(), RefCell::new(called_off));
         // Guards what was waited for with a connection: the wait's end and its reason's may come in one turn.
         let may_begin = async || {
-            if client.has_left().await || called_off.borrow_mut().try_recv().is_ok() {
+            if client.is_closed_by_peer().await || called_off.borrow_mut().try_recv().is_ok() {
                 return Err(Outcome::Cancelled);
             }
             let now = Instant::now();
--- a/gateway/src/engine.rs
+++ b/gateway/src/engine.rs
@@ -6,7 +6,7 @@
 use crate::discovery::{EndpointList, EndpointListSink};
 use crate::endpoint::{Answer, End, EndpointRegistry, Message};
 use crate::log;
-use crate::socket::Socket;
+use crate::socket::SharedStream;
 use crate::task::spawn;
 use ryefront_policy::fleet_clock::FleetClock;
 use ryefront_policy::{
@@ -43,7 +43,7 @@
 /// A request without a final answer.
 struct Open {
     message: Message,
-    client: Socket,
+    client: SharedStream,
     until: Instant,
     reply: oneshot::Sender<Reply>,
     attempts: u32,
@@ -142,7 +142,8 @@
 
     /// Takes in a request; the reply comes once, unless the client, whose socket this is, leaves first.
     pub fn open(
-        &self, arrival: impl FnOnce(RequestId) -> Arrival, message: Message, client: Socket, until: Instant,
+        &self, arrival: impl FnOnce(RequestId) -> Arrival, message: Message, client: SharedStream,
+        until: Instant,
     ) -> (RequestId, oneshot::Receiver<Reply>) {
         let (reply, receiver) = oneshot::channel();
         let id = {
@@ -285,7 +286,7 @@
         spawn(async move {
             let end = endpoints.attempt(&endpoint, message, until, written_by, called_off, &client).await;
             // So that nobody decides on a further attempt.
-            let left = end.answer.is_none() && client.has_left().await;
+            let left = end.answer.is_none() && client.is_closed_by_peer().await;
             if let Some(engine) = me.upgrade() {
                 if left {
                     engine.client_left(id);
--- a/gateway/src/http_connection.rs
+++ b/gateway/src/http_connection.rs
@@ -1,7 +1,7 @@
 //! One HTTP/1.1 connection to a server. Whoever uses it drives it: it does nothing by itself, sends nothing
 //! twice, and is closed for certain the moment it is dropped.
 
-use crate::socket::{ConnectError, Socket, connect};
+use crate::socket::{ConnectError, SharedStream, connect};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::Request;
@@ -115,7 +115,7 @@
 
 /// The socket as the HTTP library sees it; it notes how far the present request has been written.
 struct Wire {
-    socket: Socket,
+    socket: SharedStream,
     trace: Rc<Trace>,
 }
 
@@ -168,7 +168,7 @@
     sender: http1::SendRequest<Full<Bytes>>,
     /// Gone once it has ended.
     driver: Driver,
-    socket: Socket,
+    socket: SharedStream,
     trace: Rc<Trace>,
 }
 
@@ -179,7 +179,7 @@
     /// When no connection comes up in time.
     pub async fn connect(to: SocketAddr, timeout: Duration) -> Result<Self, ConnectError> {
         let stream = connect(to, timeout).await?;
-        let (socket, trace) = (Socket(Rc::new(stream)), Rc::<Trace>::default());
+        let (socket, trace) = (SharedStream::new(stream), Rc::<Trace>::default());
         let wire = TokioIo::new(Wire { socket: socket.clone(), trace: trace.clone() });
         let handshake = http1::Builder::new().max_buf_size(LONGEST_HEAD).handshake(wire);
         let (sender, driver) = handshake.await.map_err(|e| ConnectError::Peer(io::Error::other(e)))?;
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -9,7 +9,7 @@
 use ryefront_gateway::engine::Engine;
 use ryefront_gateway::log;
 use ryefront_gateway::signals::Signals;
-use ryefront_gateway::socket::is_local;
+use ryefront_gateway::socket::is_local_error;
 use ryefront_gateway::task::spawn;
 use std::fmt::Display;
 use std::io;
@@ -60,7 +60,7 @@
     let begun = Instant::now();
     loop {
         match act() {
-            Err(error) if is_local(&error) && begun.elapsed() < START_PATIENCE => {
+            Err(error) if is_local_error(&error) && begun.elapsed() < START_PATIENCE => {
                 std::thread::sleep(START_PAUSE)
             }
             result => return result,
@@ -86,7 +86,7 @@
         Err(error) => return unusable(&format!("cannot listen at {}: {error}", config.listen)),
     };
     let watched = signals.clone();
-    spawn(async move { watched.watch().await });
+    spawn(async move { watched.forward().await });
     let sockets = config.sockets.saturating_sub(OTHER_SOCKETS).max(2);
     let most_clients = ((sockets as f64 * CLIENT_SHARE) as usize).max(1);
     let settings = config.settings;
@@ -110,7 +110,7 @@
     if let Ok(address) = listener.local_addr() {
         log::write(format_args!("ryefront-gateway {}: listening at {address}", config.name));
     }
-    server.serve(listener, signals.end()).await;
+    server.serve(listener, signals.termination_requested()).await;
     ExitCode::SUCCESS
 }
 
@@ -118,7 +118,7 @@
 /// start. While it cannot be used nothing changes.
 async fn reload(signals: Rc<Signals>, discovery: watch::Sender<SocketAddr>, engine: Rc<Engine>) {
     loop {
-        signals.reload().await;
+        signals.reload_requested().await;
         let (begun, mut told) = (Instant::now(), false);
         let config = loop {
             match Config::again() {
--- a/gateway/src/signals.rs
+++ b/gateway/src/signals.rs
@@ -1,7 +1,7 @@
-//! Signals to the process: which came, and a wake-up of the one thread when one does.
+//! Signals to the process, passed on to the tasks that wait for them.
 //!
-//! Each signal sets a flag and writes a byte to a pipe. The flag is what counts. The pipe only wakes the event loop:
-//! should a call on it fail, the flags are looked at a little later all the same.
+//! Each signal sets a flag and writes a byte to a pipe. The flag carries the signal; the pipe only wakes the
+//! event loop. Should a call on the pipe fail, the flags are still checked at an interval.
 
 use crate::socket::is_transient;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -14,68 +14,80 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// The flags are looked at this often, also where no wake-up came.
-const CHECK: Duration = Duration::from_millis(50);
+/// The flags are checked this often even without a wake-up.
+const FLAG_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The signals that the process has been sent.
+/// A flag that signal handlers set, and the task that waits for it.
+#[derive(Default)]
+struct SignalFlag {
+    is_set: Arc<AtomicBool>,
+    set: Notify,
+}
+
+impl SignalFlag {
+    /// Clears the flag, and notifies the waiting task if it was set.
+    fn forward(&self) {
+        if self.is_set.swap(false, Ordering::SeqCst) {
+            self.set.notify_one();
+        }
+    }
+}
+
+/// The signals that the process has received.
 pub struct Signals {
-    end: Arc<AtomicBool>,
-    reload: Arc<AtomicBool>,
+    termination: SignalFlag,
+    reload: SignalFlag,
     wake_ups: StdUnixStream,
-    ends: Notify,
-    reloads: Notify,
 }
 
 impl Signals {
-    /// Takes over SIGTERM, SIGINT and SIGHUP from now on.
+    /// Handles SIGTERM, SIGINT and SIGHUP from now on.
     ///
     /// # Errors
-    /// When the system gives no pipe or refuses a handler.
+    /// When the system provides no pipe or rejects a handler.
     pub fn install() -> io::Result<Self> {
-        let (end, reload) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
+        let termination = SignalFlag::default();
+        let reload = SignalFlag::default();
         let (wake_ups, waker) = StdUnixStream::pair()?;
         wake_ups.set_nonblocking(true)?;
         waker.set_nonblocking(true)?;
-        for (signal, flag) in [(SIGTERM, &end), (SIGINT, &end), (SIGHUP, &reload)] {
-            signal_hook::flag::register(signal, flag.clone())?;
+        for (signal, flag) in [(SIGTERM, &termination), (SIGINT, &termination), (SIGHUP, &reload)] {
+            signal_hook::flag::register(signal, flag.is_set.clone())?;
             signal_hook::low_level::pipe::register(signal, waker.try_clone()?)?;
         }
-        Ok(Self { end, reload, wake_ups, ends: Notify::new(), reloads: Notify::new() })
+        Ok(Self { termination, reload, wake_ups })
     }
 
-    /// Passes signals on to those who wait for them, for ever.
-    pub async fn watch(&self) {
+    /// Passes signals on to the tasks that wait for them, forever.
+    pub async fn forward(&self) {
         let pipe = self.wake_ups.try_clone().and_then(UnixStream::from_std);
         loop {
-            if self.end.swap(false, Ordering::SeqCst) {
-                self.ends.notify_one();
-            }
-            if self.reload.swap(false, Ordering::SeqCst) {
-                self.reloads.notify_one();
-            }
+            self.termination.forward();
+            self.reload.forward();
             let woken = async {
                 match &pipe {
-                    Ok(pipe) => drain(pipe).await,
+                    Ok(pipe) => drain_pipe(pipe).await,
                     Err(_) => std::future::pending().await,
                 }
             };
-            let _ = timeout(CHECK, woken).await;
+            let _ = timeout(FLAG_CHECK_INTERVAL, woken).await;
         }
     }
 
-    /// Resolves once the process is to end.
-    pub async fn end(&self) {
-        self.ends.notified().await;
+    /// Resolves once the process is asked to terminate.
+    pub async fn termination_requested(&self) {
+        self.termination.set.notified().await;
     }
 
-    /// Resolves once the configuration is to be read again; of several signals in a row the last one counts.
-    pub async fn reload(&self) {
-        self.reloads.notified().await;
+    /// Resolves once the configuration is to be reloaded. Several signals in a row may resolve it only
+    /// once, after the last of them.
+    pub async fn reload_requested(&self) {
+        self.reload.set.notified().await;
     }
 }
 
-/// Waits for wake-ups and takes out those that are there.
-async fn drain(pipe: &UnixStream) {
+/// Waits for wake-ups and discards those that have come.
+async fn drain_pipe(pipe: &UnixStream) {
     if pipe.readable().await.is_err() {
         return std::future::pending().await;
     }
--- a/gateway/src/socket.rs
+++ b/gateway/src/socket.rs
@@ -1,5 +1,5 @@
-//! TCP streams: how they come up, which of their errors are no word of the peer, and a stream that its owner can go
-//! on asking after the HTTP library has it.
+//! TCP streams: connecting, the classification of their errors, and a stream that its owner can go on
+//! inspecting after the HTTP library has received it.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -13,104 +13,121 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// A connection that this machine could not begin is begun again after this.
-const CONNECT_PAUSE: Duration = Duration::from_millis(5);
-
-/// Whether a call on a stream failed for want of memory. Nothing has happened: it may be made again.
-fn lacks_memory(error: &io::Error) -> bool {
+/// The delay before a connection is attempted again that failed for a local reason.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
+
+/// Local failures that are not transient: descriptors, local ports or a route are missing.
+const LOCAL_ERRNOS: [i32; 8] = [
+    libc::EMFILE,
+    libc::ENFILE,
+    libc::ENOSPC,
+    libc::EAGAIN,
+    libc::EADDRINUSE,
+    libc::EADDRNOTAVAIL,
+    libc::ENETDOWN,
+    libc::ENETUNREACH,
+];
+
+/// Whether a call on a stream failed for lack of memory. It had no effect and may be made again.
+fn is_out_of_memory(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::OutOfMemory || error.raw_os_error() == Some(libc::ENOBUFS)
 }
 
-/// Whether a call on a stream failed without a word of the peer or of the connection: it may be made again.
+/// Whether a call on a stream failed for a reason that lies neither with the peer nor with the connection. It
+/// may be made again.
 pub fn is_transient(error: &io::Error) -> bool {
-    error.kind() == io::ErrorKind::Interrupted || lacks_memory(error)
+    error.kind() == io::ErrorKind::Interrupted || is_out_of_memory(error)
 }
 
-/// Whether a call failed for want of something of this machine's own: descriptors, memory, local ports, a route.
-pub fn is_local(error: &io::Error) -> bool {
-    const LOCAL: [i32; 8] = [
-        libc::EMFILE,
-        libc::ENFILE,
-        libc::ENOSPC,
-        libc::EAGAIN,
-        libc::EADDRINUSE,
-        libc::EADDRNOTAVAIL,
-        libc::ENETDOWN,
-        libc::ENETUNREACH,
-    ];
-    is_transient(error) || error.raw_os_error().is_some_and(|errno| LOCAL.contains(&errno))
+/// Whether a call failed because this machine lacks a resource: descriptors, memory, local ports, a route.
+pub fn is_local_error(error: &io::Error) -> bool {
+    is_transient(error) || error.raw_os_error().is_some_and(|errno| LOCAL_ERRNOS.contains(&errno))
 }
 
-/// Why no connection came up.
-#[derive(Debug)]
+/// Why no connection was established.
+#[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// This machine could not begin one. That says nothing of the peer.
-    Local(io::Error),
-    /// The peer refused or was out of reach.
-    Peer(io::Error),
-    /// Nothing came back in time.
+    /// This machine lacks a resource. That says nothing about the peer.
+    #[error("no connection could be started: {0}")]
+    Local(#[source] io::Error),
+    /// The peer refused the connection or is unreachable.
+    #[error("the peer refused or is unreachable: {0}")]
+    Peer(#[source] io::Error),
+    /// The peer did not respond in time.
+    #[error("no connection in time")]
     TimedOut,
 }
 
-/// Connects within `limit`. What this machine cannot begin it tries again for as long.
+/// Connects within `time_limit`. Attempts that fail for a local reason are retried until then.
 ///
 /// # Errors
-/// When no connection comes up in time.
-pub async fn connect(to: SocketAddr, limit: Duration) -> Result<TcpStream, ConnectError> {
-    let end = Instant::now() + limit;
+/// When no connection is established in time.
+pub async fn connect(address: SocketAddr, time_limit: Duration) -> Result<TcpStream, ConnectError> {
+    let deadline = Instant::now() + time_limit;
     loop {
-        let error = match timeout_at(end, TcpStream::connect(to)).await {
+        let error = match timeout_at(deadline, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => {
-                // Without it small writes may be held back, which is no reason to give up the connection.
+                // Without the option small writes may be delayed, which is no reason to close the connection.
                 let _ = stream.set_nodelay(true);
                 return Ok(stream);
             }
             Ok(Err(error)) => error,
             Err(_) => return Err(ConnectError::TimedOut),
         };
-        if !is_local(&error) {
+        if !is_local_error(&error) {
             return Err(ConnectError::Peer(error));
         }
-        if Instant::now() + CONNECT_PAUSE >= end {
+        if Instant::now() + CONNECT_RETRY_DELAY >= deadline {
             return Err(ConnectError::Local(error));
         }
-        sleep(CONNECT_PAUSE).await;
+        sleep(CONNECT_RETRY_DELAY).await;
     }
 }
 
-/// The stream, shared with its owner.
+/// A stream that is shared between the HTTP library, which reads and writes it, and its owner, who checks its
+/// state.
 #[derive(Clone)]
-pub struct Socket(pub Rc<TcpStream>);
-
-impl Socket {
-    /// Resolves once the peer has ended its sending, or the connection has broken. Asks the event loop, not the
-    /// bytes: an end that stands behind bytes nobody reads yet is one all the same. Of the interests that a
-    /// stream can be waited for with, only that in priority data is met by an end and not by bytes, and no
-    /// socket here is registered for such data.
-    pub async fn left(&self) {
-        let _ = self.0.ready(Interest::PRIORITY).await;
+pub struct SharedStream {
+    stream: Rc<TcpStream>,
+}
+
+impl SharedStream {
+    /// Shares a stream.
+    pub fn new(stream: TcpStream) -> Self {
+        Self { stream: Rc::new(stream) }
     }
 
-    /// Whether the peer has ended its sending, or the connection has broken, by the newest word there is. What the
-    /// event loop has heard is as old as its last turn, so the kernel is asked. An end behind bytes that nobody has
-    /// read yet only the event loop tells of: then it has to turn first.
-    pub async fn has_left(&self) -> bool {
+    /// Resolves once the peer has closed its sending side, or the connection has broken.
+    ///
+    /// It waits for readiness and reads nothing, as the end may be behind bytes that nobody has read. Of the
+    /// interests that can be waited for, only that in priority data becomes ready by an end and not by
+    /// ordinary bytes; as no socket here is registered for priority data, nothing but an end makes it ready.
+    pub async fn closed_by_peer(&self) {
+        let _ = self.stream.ready(Interest::PRIORITY).await;
+    }
+
+    /// Whether the peer has closed its sending side, or the connection has broken.
+    ///
+    /// The event loop's state is as old as its last iteration, so the kernel is queried. Only the event loop
+    /// knows of an end behind unread bytes: it has to run an iteration first then.
+    pub async fn is_closed_by_peer(&self) -> bool {
         match self.peek() {
             Ok(0) => return true,
             Ok(_) => yield_now().await,
-            Err(error) if lacks_memory(&error) => yield_now().await,
+            Err(error) if is_out_of_memory(&error) => yield_now().await,
             Err(error) => return error.kind() != io::ErrorKind::WouldBlock,
         }
-        pin!(self.left()).poll(&mut Context::from_waker(Waker::noop())).is_ready()
+        pin!(self.closed_by_peer()).poll(&mut Context::from_waker(Waker::noop())).is_ready()
     }
 
-    /// Asks the kernel for the next byte and leaves it there: 1 where one has come, 0 at the end.
+    /// Queries the kernel for the next byte without consuming it: 1 when there is one, 0 at the end of the
+    /// stream.
     ///
     /// # Errors
-    /// `WouldBlock` while nothing has come, others when the connection has broken.
+    /// `WouldBlock` while nothing has arrived, others when the connection has broken.
     pub fn peek(&self) -> io::Result<usize> {
         loop {
-            match socket2::SockRef::from(&*self.0).peek(&mut [MaybeUninit::uninit()]) {
+            match socket2::SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]) {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 peeked => return peeked,
             }
@@ -118,31 +135,31 @@
     }
 }
 
-/// Has a call made again once the event loop has turned.
-fn try_again<T>(cx: &Context<'_>) -> Poll<T> {
+/// Reschedules the task, so that the call is made again after other tasks have run.
+fn retry_later<T>(cx: &Context<'_>) -> Poll<T> {
     cx.waker().wake_by_ref();
     Poll::Pending
 }
 
-impl AsyncRead for Socket {
+impl AsyncRead for SharedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
-            ready!(self.0.poll_read_ready(cx))?;
-            match self.0.try_read(buf.initialize_unfilled()) {
+            ready!(self.stream.poll_read_ready(cx))?;
+            match self.stream.try_read(buf.initialize_unfilled()) {
                 Ok(read) => {
                     buf.advance(read);
                     return Poll::Ready(Ok(()));
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) if lacks_memory(&error) => return try_again(cx),
+                Err(error) if is_out_of_memory(&error) => return retry_later(cx),
                 Err(error) => return Poll::Ready(Err(error)),
             }
         }
     }
 }
 
-impl AsyncWrite for Socket {
+impl AsyncWrite for SharedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(cx, &[io::IoSlice::new(buf)])
     }
@@ -151,11 +168,11 @@
         self: Pin<&mut Self>, cx: &mut Context<'_>, bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         loop {
-            ready!(self.0.poll_write_ready(cx))?;
-            match self.0.try_write_vectored(bufs) {
+            ready!(self.stream.poll_write_ready(cx))?;
+            match self.stream.try_write_vectored(bufs) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) if lacks_memory(&error) => return try_again(cx),
+                Err(error) if is_out_of_memory(&error) => return retry_later(cx),
                 written => return Poll::Ready(written),
             }
         }
@@ -170,6 +187,6 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(socket2::SockRef::from(&*self.0).shutdown(std::net::Shutdown::Write))
+        Poll::Ready(socket2::SockRef::from(&*self.stream).shutdown(std::net::Shutdown::Write))
     }
 }
--- a/gateway/tests/leaving.rs
+++ b/gateway/tests/leaving.rs
@@ -6,9 +6,8 @@
 use helper::{
     Client, Do, Endpoint, Gateway, Late, Mood, Setup, World, full_line, list, ok, pause, request, row, until,
 };
-use ryefront_gateway::socket::Socket;
+use ryefront_gateway::socket::SharedStream;
 use std::net::Shutdown;
-use std::rc::Rc;
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::Duration;
 use tokio::io::BufReader;
@@ -68,12 +67,12 @@
         let peer =
             TcpStream::connect(listener.local_addr().expect("an address")).await.expect("a connection");
         let (stream, _) = listener.accept().await.expect("a connection");
-        let (socket, mut peer) = (Socket(Rc::new(stream)), Client(BufReader::new(peer)));
+        let (socket, mut peer) = (SharedStream::new(stream), Client(BufReader::new(peer)));
         peer.write(&behind).await;
-        assert!(!socket.has_left().await, "{way:?}, {} bytes behind", behind.len());
+        assert!(!socket.is_closed_by_peer().await, "{way:?}, {} bytes behind", behind.len());
         let _kept = leave(peer, way).await;
-        assert!(socket.has_left().await, "{way:?}, {} bytes behind", behind.len());
-        helper::soon("the same from the event loop", socket.left()).await;
+        assert!(socket.is_closed_by_peer().await, "{way:?}, {} bytes behind", behind.len());
+        helper::soon("the same from the event loop", socket.closed_by_peer()).await;
     }
 }
 
