--- a/gateway/src/counter/resp.rs
+++ b/gateway/src/counter/resp.rs
@@ -9,7 +9,7 @@
 /// The most bytes of replies that are buffered before they make a complete reply.
 const MAX_BUFFERED_BYTES: usize = 4096;
 
-/// Amounts are sent rounded to this fraction of a unit.
+/// Amounts are rounded to a millionth of a unit.
 const AMOUNT_STEPS_PER_UNIT: f64 = 1e6;
 
 /// One command to the counter.
--- a/gateway/src/discovery/backoff.rs
+++ b/gateway/src/discovery/backoff.rs
@@ -11,7 +11,7 @@
 /// The longest timeout of a poll that does not wait for changes, however many responses were late.
 const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1400);
 /// A response that has begun is complete within this fraction of the response timeout. It is below 1, so that
-/// a response that takes too long is distinguished from none.
+/// a response that is too slow is distinguished from none.
 const COMPLETION_FRACTION: f64 = 0.8;
 
 /// Capped exponential backoff with jitter.
@@ -55,8 +55,7 @@
     pub max_response_timeout: Duration,
     /// The delay after polls that were rejected. When most gateways reconnect at once, discovery rejects
     /// them, and retries of hundreds of gateways at a fixed interval would keep it overloaded. After other
-    /// failures the delay remains the initial one, as a service that does not respond is not overloaded by
-    /// its rejections.
+    /// failures the delay remains the initial one, as polls do not keep a service busy that does not respond.
     pub backoff: ExponentialBackoff,
 }
 
@@ -64,7 +63,7 @@
     /// The timing for a shared service. A change must be known within 6 s of when the service could be
     /// reached. A poll or delay in progress at that time, one more failure of any kind, and a successful poll
     /// fit into that, with a margin for a gateway short of CPU time. The timeout grows from poll to poll, as
-    /// a slow service would otherwise never be heard.
+    /// every response of a slow service would otherwise be too late.
     pub const SHARED_SERVICE: Self = Self {
         max_wait: Duration::from_secs(1),
         response_timeout: Duration::from_millis(500),
--- a/gateway/src/engine.rs
+++ b/gateway/src/engine.rs
@@ -129,7 +129,7 @@
     fn poll_fleet_clock(&self) {
         let call = self.fleet_clock.borrow_mut().poll(self.clock.now());
         if let (Some(call), Some(counter)) = (call, &self.counter) {
-            counter.add(call.key, call.amount, call.ttl);
+            counter.increment(call.key, call.amount, call.ttl);
         }
     }
 
@@ -237,7 +237,7 @@
                 });
             }
             Action::IncrementCounter { key: name, amount, ttl: keep } => match &self.counter {
-                Some(counter) => counter.add(name, amount, keep),
+                Some(counter) => counter.increment(name, amount, keep),
                 None => self.post(Event::CounterReply {
                     key: name,
                     result: CounterResult::NotAdded,
--- a/gateway/tests/counter.rs
+++ b/gateway/tests/counter.rs
@@ -103,7 +103,7 @@
             let mut outcomes = Vec::new();
             for next in moods {
                 *mood.lock().expect("lock") = next;
-                counter.add(2, 1.0, 10_000.0);
+                counter.increment(2, 1.0, 10_000.0);
                 outcomes.push(helper::soon(spoilt, ends.recv()).await.expect("an end"));
             }
             outcomes
