--- a/gateway/src/endpoint/mod.rs
+++ b/gateway/src/endpoint/mod.rs
@@ -3,10 +3,10 @@
 pub mod pool;
 
 use crate::clock::millis;
-use crate::discovery::List;
+use crate::discovery::EndpointList;
 use crate::endpoint::pool::Pool;
 use crate::http_connection::{Connection, Progress};
-use crate::socket::{ConnectError, Socket};
+use crate::socket::{ConnectError, SharedStream};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
@@ -187,16 +187,16 @@
 
     /// Takes in a list, in time that follows its length; if it is whole, that of the last whole one too. Free
     /// connections to what drains, is gone or listens elsewhere now are dropped.
-    pub fn update(&self, list: &List) {
+    pub fn update(&self, list: &EndpointList) {
         let (mut known, mut pool) = (self.known.borrow_mut(), self.pool.borrow_mut());
         let (told, heard) = (self.lists.get() + 1, Instant::now());
         self.lists.set(told);
-        if list.whole {
-            let new = list.hosts.len().saturating_sub(known.len());
+        if list.is_snapshot {
+            let new = list.endpoints.len().saturating_sub(known.len());
             known.reserve(new);
         }
-        for host in &list.hosts {
-            let (name, dial) = (&host.entry.name, host.dial);
+        for host in &list.endpoints {
+            let (name, dial) = (&host.entry.name, host.address);
             if host.entry.state == EndpointState::Removed {
                 known.remove(name);
                 pool.clear(name);
@@ -209,7 +209,7 @@
             }
             (endpoint.ready, endpoint.dial, endpoint.told) = (ready, dial, told);
         }
-        if list.whole {
+        if list.is_snapshot {
             known.retain(|name, endpoint| {
                 let stays = endpoint.told == told;
                 if !stays {
@@ -236,7 +236,7 @@
     /// once the `client` has left. Its last byte is written before `written_by`, or it is given up.
     pub async fn attempt(
         &self, name: &Name, message: Message, until: Instant, written_by: Option<Instant>,
-        called_off: oneshot::Receiver<()>, client: &Socket,
+        called_off: oneshot::Receiver<()>, client: &SharedStream,
     ) -> End {
         let build = |dial: SocketAddr| {
             let left = until.saturating_duration_since(Instant::now());
@@ -257,7 +257,7 @@
         let (begun, called_off) = (Instant::now(), RefCell::new(called_off));
         // Guards what was waited for with a connection: the wait's end and its reason's may come in one turn.
         let may_begin = async || {
-            if client.has_left().await || called_off.borrow_mut().try_recv().is_ok() {
+            if client.is_closed_by_peer().await || called_off.borrow_mut().try_recv().is_ok() {
                 return Err(Outcome::Cancelled);
             }
             let now = Instant::now();
--- a/gateway/src/engine.rs
+++ b/gateway/src/engine.rs
@@ -2,10 +2,11 @@
 //! the tables of requests that have no final answer yet and of attempts that are out.
 
 use crate::clock::{Clock, millis, span};
-use crate::counter::Counter;
+use crate::counter::{CompletedCall, CounterClient};
+use crate::discovery::{EndpointList, EndpointListSink};
 use crate::endpoint::{Answer, End, EndpointRegistry, Message};
 use crate::log;
-use crate::socket::Socket;
+use crate::socket::SharedStream;
 use crate::task::spawn;
 use ryefront_policy::fleet_clock::FleetClock;
 use ryefront_policy::{
@@ -42,7 +43,7 @@
 /// A request without a final answer.
 struct Open {
     message: Message,
-    client: Socket,
+    client: SharedStream,
     until: Instant,
     reply: oneshot::Sender<Reply>,
     attempts: u32,
@@ -67,7 +68,7 @@
     clock: Clock,
     fleet_clock: RefCell<FleetClock>,
     endpoints: Rc<EndpointRegistry>,
-    counter: Option<Counter>,
+    counter: Option<CounterClient>,
     state: RefCell<State>,
     events: RefCell<VecDeque<Event>>,
     running: Cell<bool>,
@@ -90,16 +91,16 @@
         Ok(Rc::new_cyclic(|me: &Weak<Self>| {
             let to = me.clone();
             let counter = counter.map(|address| {
-                let report = move |name, outcome, latency| {
+                let report = move |CompletedCall { key, result, latency }| {
                     let Some(engine) = to.upgrade() else { return };
-                    if name == FleetClock::register() {
-                        engine.agree(outcome);
+                    if key == FleetClock::register() {
+                        engine.agree(result);
                     } else {
-                        engine.post(Event::CounterReply { key: name, result: outcome, latency });
+                        engine.post(Event::CounterReply { key, result, latency });
                     }
                 };
                 spawn(keep_agreeing(me.clone()));
-                Counter::start(address, patience, Rc::new(report))
+                CounterClient::start(address, patience, Rc::new(report))
             });
             Self {
                 clock,
@@ -128,20 +129,21 @@
     fn poll_fleet_clock(&self) {
         let call = self.fleet_clock.borrow_mut().poll(self.clock.now());
         if let (Some(call), Some(counter)) = (call, &self.counter) {
-            counter.add(call.key, call.amount, call.ttl);
+            counter.increment(call.key, call.amount, call.ttl);
         }
     }
 
     /// The counter is elsewhere from now on.
     pub fn move_counter(&self, address: SocketAddr) {
         if let Some(counter) = &self.counter {
-            counter.move_to(address);
+            counter.migrate_to(address);
         }
     }
 
     /// Takes in a request; the reply comes once, unless the client, whose socket this is, leaves first.
     pub fn open(
-        &self, arrival: impl FnOnce(RequestId) -> Arrival, message: Message, client: Socket, until: Instant,
+        &self, arrival: impl FnOnce(RequestId) -> Arrival, message: Message, client: SharedStream,
+        until: Instant,
     ) -> (RequestId, oneshot::Receiver<Reply>) {
         let (reply, receiver) = oneshot::channel();
         let id = {
@@ -235,7 +237,7 @@
                 });
             }
             Action::IncrementCounter { key: name, amount, ttl: keep } => match &self.counter {
-                Some(counter) => counter.add(name, amount, keep),
+                Some(counter) => counter.increment(name, amount, keep),
                 None => self.post(Event::CounterReply {
                     key: name,
                     result: CounterResult::NotAdded,
@@ -284,7 +286,7 @@
         spawn(async move {
             let end = endpoints.attempt(&endpoint, message, until, written_by, called_off, &client).await;
             // So that nobody decides on a further attempt.
-            let left = end.answer.is_none() && client.has_left().await;
+            let left = end.answer.is_none() && client.is_closed_by_peer().await;
             if let Some(engine) = me.upgrade() {
                 if left {
                     engine.client_left(id);
@@ -319,6 +321,17 @@
     }
 }
 
+impl EndpointListSink for Engine {
+    /// Updates the connections before the policy, so that no attempt is forwarded by an older list.
+    fn apply(&self, list: EndpointList) {
+        self.endpoints.update(&list);
+        let entries = list.endpoints.into_iter().map(|endpoint| endpoint.entry).collect();
+        let event =
+            if list.is_snapshot { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) };
+        self.post(event);
+    }
+}
+
 /// Keeps an engine's clock in agreement with the fleet's, for as long as the engine is there.
 async fn keep_agreeing(engine: Weak<Engine>) {
     if let Some(engine) = engine.upgrade() {
