--- /dev/null
+++ b/sim-adapter/src/encode.rs
@@ -0,0 +1,44 @@
+//! Actions to lines.
+
+use crate::wire::{ALL_PEERS, TRUE, action};
+use base64::Engine as _;
+use base64::engine::general_purpose::STANDARD;
+use ryefront_policy::Action;
+use std::fmt::{self, Write as _};
+
+/// Appends the line of an action of one instance.
+///
+/// # Errors
+/// None: a `String` accepts all that is written to it.
+pub(crate) fn write_action(reply: &mut String, instance: u64, action: &Action) -> fmt::Result {
+    match action {
+        // The simulator writes an attempt in one step, so that it has no write timeout.
+        Action::ForwardAttempt { id, endpoint, timeout, write_timeout: _ } => {
+            let timeout = timeout.unwrap_or(0.0);
+            writeln!(reply, "{}\t{instance}\t{id}\t{endpoint}\t{timeout:.3}", action::FORWARD_ATTEMPT)
+        }
+        Action::Reject { id, retry_after } => {
+            writeln!(reply, "{}\t{instance}\t{id}\t{retry_after:.3}", action::REJECT)
+        }
+        Action::Fail { id } => writeln!(reply, "{}\t{instance}\t{id}", action::FAIL),
+        Action::CancelAttempt { id, attempt } => {
+            writeln!(reply, "{}\t{instance}\t{id}\t{attempt}", action::CANCEL_ATTEMPT)
+        }
+        Action::SetTimer { after, token } => {
+            writeln!(reply, "{}\t{instance}\t{after:.3}\t{token}", action::SET_TIMER)
+        }
+        Action::HealthCheck { endpoint } => {
+            writeln!(reply, "{}\t{instance}\t{endpoint}", action::HEALTH_CHECK)
+        }
+        Action::IncrementCounter { key, amount, ttl } => {
+            writeln!(reply, "{}\t{instance}\t{key}\t{amount:.6}\t{ttl:.3}", action::INCREMENT_COUNTER)
+        }
+        Action::Gossip { bytes } => {
+            writeln!(reply, "{}\t{instance}\t{ALL_PEERS}\t{}", action::GOSSIP, STANDARD.encode(bytes))
+        }
+        Action::WatchEndpoints => writeln!(reply, "{}\t{instance}\t{TRUE}", action::WATCH_ENDPOINTS),
+        Action::Log(text) => {
+            writeln!(reply, "{}\t{instance}\t{}", action::LOG, text.replace(['\n', '\t'], " "))
+        }
+    }
+}
--- a/sim-adapter/src/main.rs
+++ b/sim-adapter/src/main.rs
@@ -1,12 +1,14 @@
-//! `ryefront-sim-adapter`: the wire on standard input and output.
+//! `ryefront-sim-adapter`: hosts gateways on standard input and output.
 
 #![forbid(unsafe_code)]
 
+use ryefront_sim_adapter::Host;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let (mut input, mut output) = (std::io::stdin().lock(), std::io::stdout().lock());
-    match ryefront_sim_adapter::Host::default().run(&mut input, &mut output) {
+    let mut input = std::io::stdin().lock();
+    let mut output = std::io::stdout().lock();
+    match Host::default().run(&mut input, &mut output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("ryefront-sim-adapter: {error}");
--- /dev/null
+++ b/sim-adapter/tests/common/mod.rs
@@ -0,0 +1,28 @@
+//! Transcripts of the wire: input lines to a fresh host, and what it replies.
+
+use ryefront_sim_adapter::{Host, HostError};
+
+const SETTINGS: &str = r#"{"classes":[{"name":"look","effect":"idempotent","goal-time-ms":500.0,"hard-limit-ms":2000.0,
+"worth":1.0}],"plans":[{"name":"p","refill":5.0,"burst":10.0,"worth-factor":1.0}],"fleet-size":2,"my-number":0,
+"locality":"z","period-ms":1.0,"discovery":"pushed","a-new-key":{"x":1},"extra":{"has-counter":true,
+"count-limit-ms":50.0,"units-top":1},"load-info":{"source":"inline"},"permissions":{"most-tries":3,
+"may-cancel":true,"max-retry-after-ms":1000.0},"rules":{"cold-from":0.2,"cold-ms":9000.0}}"#;
+
+/// A table of one endpoint.
+#[allow(dead_code, reason = "not every test file needs it")]
+pub const TABLE: [&str; 2] = ["TABLE\t0\t1", "ENTRY\tendpoint.x\tz\tk\t0\tIN\t1\t-"];
+/// That table as the endpoint list of instance 3.
+pub const ENDPOINT_LIST: &str = "ANNOUNCE\t3\tremembered\t1\t0";
+
+/// The lines that a fresh host replies.
+pub fn replies(lines: &[&str]) -> Result<Vec<String>, HostError> {
+    let input = lines.join("\n") + "\n";
+    let mut output = Vec::new();
+    Host::default().run(&mut input.as_bytes(), &mut output)?;
+    Ok(String::from_utf8(output).expect("text").lines().map(str::to_owned).collect())
+}
+
+/// The line that starts an instance.
+pub fn start(instance: u32) -> String {
+    format!("START\t{instance}\t7\t{}", SETTINGS.replace('\n', ""))
+}
--- a/sim-adapter/tests/settings.rs
+++ b/sim-adapter/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings with one key absent or zero, played on the wire: every request gets one answer in time all the same, or the
-//! start names the fault.
+//! Settings with one key missing or zero, played on the wire: every request still gets one answer in time, or the
+//! start of the instance names the fault.
 
 use ryefront_sim_adapter::Host;
 use serde_json::{Value, json};
@@ -28,7 +28,7 @@
     })
 }
 
-/// The paths of all values in an object or list, its own parts first.
+/// Collects the paths of all values within an object or a list, each before the paths below it.
 fn paths(value: &Value, at: &str, found: &mut Vec<String>) {
     let parts: Vec<(String, &Value)> = match value {
         Value::Object(map) => map.iter().map(|(k, v)| (k.clone(), v)).collect(),
@@ -42,6 +42,7 @@
     }
 }
 
+/// The settings without one value.
 fn without(path: &str) -> Value {
     let mut settings = settings();
     let (parent, key) = path.rsplit_once('/').expect("a path");
@@ -53,95 +54,185 @@
     settings
 }
 
-const PATIENCE: u64 = 900;
-
-/// Plays eighteen requests, of all classes and plans and of up to three units; every third counter call gets no
-/// answer, and first attempts break. Gives how often each request was answered and how many were sent again, or what
-/// the start says.
-fn play(settings: &Value) -> Result<(BTreeMap<u64, u32>, usize), String> {
-    let mut host = Host::default();
-    let mut due = BTreeMap::<(u64, usize), String>::new();
-    let start = format!("START\t3\t7\t{settings}");
-    let list = "TABLE\t0\t2\nENTRY\tx\tz\tk\t0\tIN\t1\t-\nENTRY\ty\tz\tk\t0\tIN\t1\t995";
-    due.insert((1000, 0), format!("{start}\n{list}\nANNOUNCE\t3\tall\t1\t0"));
-    let mut answers = BTreeMap::new();
-    for id in 0..18 {
-        let (class, plan) = (["look", "book", "pay"][id % 3], ["p", "c"][id / 3 % 2]);
-        let (spread, units) = ([1, 30][id % 2], 1 + id % 4);
-        let order =
-            format!("ORDER\t3\t{id}\tc{}\t0\t{PATIENCE}\t{class}\t0\t0\t{spread}\t{units}\t{plan}", id % 5);
-        due.insert((1001 + 40 * id as u64, id + 1), order);
-        answers.insert(id as u64, 0);
+/// The settings with a number set to zero; none if the value is not a number.
+fn with_zero(path: &str) -> Option<Value> {
+    let mut settings = settings();
+    let value = settings.pointer_mut(path).filter(|value| value.is_number())?;
+    *value = json!(0);
+    Some(settings)
+}
+
+/// The instance that is played.
+const INSTANCE: u64 = 3;
+const REQUESTS: u64 = 18;
+const TIME_TO_DEADLINE_MS: u64 = 900;
+const ANSWER_SLACK_MS: u64 = 8;
+const FIRST_ARRIVAL_MS: u64 = 1001;
+const ARRIVAL_PERIOD_MS: u64 = 40;
+const END_MS: u64 = 4000;
+
+fn arrival_ms(id: u64) -> u64 {
+    FIRST_ARRIVAL_MS + ARRIVAL_PERIOD_MS * id
+}
+
+/// An attempt of a request.
+#[derive(Clone, Copy)]
+struct Attempt {
+    number: u32,
+    first_sent_ms: u64,
+}
+
+/// A simulator of one instance. Every third counter call gets no reply, and each first attempt breaks.
+struct Simulator {
+    host: Host,
+    /// The events to come, by their time and the order in which they were planned.
+    events: BTreeMap<(u64, u64), String>,
+    planned: u64,
+    counter_calls: u32,
+    /// The last attempt of each request.
+    attempts: BTreeMap<u64, Attempt>,
+    /// How often each request was answered.
+    answers: BTreeMap<u64, u32>,
+    connect_timeout_ms: f64,
+    dedup_window_ms: f64,
+}
+
+impl Simulator {
+    /// Plans the start and all requests: of all classes and plans, and of up to four units.
+    fn new(settings: &Value) -> Self {
+        let classes = settings["classes"].as_array().into_iter().flatten();
+        let book = classes.into_iter().find(|class| class["name"] == "book");
+        let mut simulator = Self {
+            host: Host::default(),
+            events: BTreeMap::new(),
+            planned: 0,
+            counter_calls: 0,
+            attempts: BTreeMap::new(),
+            answers: BTreeMap::new(),
+            connect_timeout_ms: settings["permissions"]["dial-timeout-ms"].as_f64().unwrap_or(0.0),
+            dedup_window_ms: book.and_then(|class| class["window-ms"].as_f64()).unwrap_or(0.0),
+        };
+        let start = format!("START\t{INSTANCE}\t7\t{settings}");
+        let table = "TABLE\t0\t2\nENTRY\tx\tz\tk\t0\tIN\t1\t-\nENTRY\ty\tz\tk\t0\tIN\t1\t995";
+        simulator.plan(1000, format!("{start}\n{table}\nANNOUNCE\t{INSTANCE}\tall\t1\t0"));
+        for id in 0..REQUESTS {
+            simulator.plan(arrival_ms(id), request(id));
+            simulator.answers.insert(id, 0);
+        }
+        simulator
     }
-    let classes = settings["classes"].as_array().into_iter().flatten();
-    let book = classes.into_iter().find(|class| class["name"] == "book");
-    let window = book.and_then(|class| class["window-ms"].as_f64()).unwrap_or(0.0);
-    let dial = settings["permissions"]["dial-timeout-ms"].as_f64().unwrap_or(0.0);
-    let (mut order, mut calls, mut attempts) = (1000, 0, BTreeMap::<u64, (u32, u64)>::new());
-    while let Some(((now, _), events)) = due.pop_first().filter(|((now, _), _)| *now < 4000) {
-        let (batch, mut reply) = (format!("BATCH\t{now}\n{events}\nYOUR_TURN\n"), Vec::new());
-        host.run(&mut batch.as_bytes(), &mut reply).map_err(|e| e.to_string())?;
-        for line in String::from_utf8(reply).expect("text").lines() {
-            let fields: Vec<&str> = line.split('\t').collect();
-            let id = || fields[2].parse::<u64>().expect("an id");
-            let next = match fields[0] {
-                "NOTIFY_ME" => {
-                    let after: f64 = fields[2].parse().expect("a time");
-                    Some((after.max(1.0).ceil() as u64, format!("DUE\t3\t{}", fields[3])))
-                }
-                "CHARGE_COUNTER" => {
-                    calls += 1;
-                    let name = fields[2];
-                    let total = format!("TOTAL\t3\tdelivered\t{name}\t3\t{}", fields[3]);
-                    let lost = (30, format!("TOTAL\t3\texpired\t{name}\t30\t-"));
-                    Some(if calls % 3 == 0 { lost } else { (3, total) })
-                }
-                "HAND_OFF" => {
-                    let (n, first) = *attempts.entry(id()).and_modify(|(n, _)| *n += 1).or_insert((0, now));
-                    let in_window = (now - first) as f64 + dial <= window;
-                    let allowed = [true, in_window, false][id() as usize % 3];
-                    assert!(n == 0 || allowed, "sent again {} ms after the first: {line}", now - first);
-                    let (outcome, over) = if n == 0 { ("dropped", 0) } else { ("delivered", 1) };
-                    *answers.get_mut(&id()).expect("an id given") += over;
-                    let end = format!("{outcome}\t-\t{n}\t-\t{over}\t-");
-                    Some((20, format!("ATTEMPT_END\t3\t{}\t20\t{}\t{end}", id(), fields[3])))
-                }
-                "SHED" | "DROP_REQUEST" => {
-                    assert!(now <= 1001 + 40 * id() + PATIENCE + 8, "answered late: {line}");
-                    *answers.get_mut(&id()).expect("an id given") += 1;
-                    None
-                }
-                _ => None,
-            };
-            if let Some((after, event)) = next {
-                order += 1;
-                due.insert((now + after, order), event);
+
+    fn plan(&mut self, at_ms: u64, event: String) {
+        self.planned += 1;
+        self.events.insert((at_ms, self.planned), event);
+    }
+
+    /// Plays until the end, one event a batch.
+    fn run(&mut self) -> Result<(), String> {
+        while let Some(((now, _), event)) = self.events.pop_first().filter(|((now, _), _)| *now < END_MS) {
+            let batch = format!("BATCH\t{now}\n{event}\nYOUR_TURN\n");
+            let mut reply = Vec::new();
+            self.host.run(&mut batch.as_bytes(), &mut reply).map_err(|e| e.to_string())?;
+            for line in String::from_utf8(reply).expect("text").lines() {
+                self.perform(now, line);
+            }
+        }
+        Ok(())
+    }
+
+    fn perform(&mut self, now: u64, line: &str) {
+        let fields: Vec<&str> = line.split('\t').collect();
+        let request_id = || fields[2].parse::<u64>().expect("an id");
+        match fields[0] {
+            "NOTIFY_ME" => {
+                let after: f64 = fields[2].parse().expect("a time");
+                self.plan(now + after.max(1.0).ceil() as u64, format!("DUE\t{INSTANCE}\t{}", fields[3]));
             }
+            "CHARGE_COUNTER" => self.call_counter(now, fields[2], fields[3]),
+            "HAND_OFF" => self.forward(now, request_id(), fields[3]),
+            "SHED" | "DROP_REQUEST" => {
+                let deadline = arrival_ms(request_id()) + TIME_TO_DEADLINE_MS;
+                assert!(now <= deadline + ANSWER_SLACK_MS, "answered late: {line}");
+                self.answer(request_id());
+            }
+            _ => {}
         }
     }
-    Ok((answers, attempts.values().filter(|(n, _)| *n > 0).count()))
+
+    fn call_counter(&mut self, now: u64, key: &str, amount: &str) {
+        self.counter_calls += 1;
+        if self.counter_calls.is_multiple_of(3) {
+            self.plan(now + 30, format!("TOTAL\t{INSTANCE}\texpired\t{key}\t30\t-"));
+        } else {
+            self.plan(now + 3, format!("TOTAL\t{INSTANCE}\tdelivered\t{key}\t3\t{amount}"));
+        }
+    }
+
+    /// Breaks a first attempt and serves a retry, which must be one that the request's class allows.
+    fn forward(&mut self, now: u64, id: u64, endpoint: &str) {
+        let first = Attempt { number: 0, first_sent_ms: now };
+        let attempt = *self.attempts.entry(id).and_modify(|last| last.number += 1).or_insert(first);
+        let is_retry = attempt.number > 0;
+        let since_first_ms = now - attempt.first_sent_ms;
+        let within_window = since_first_ms as f64 + self.connect_timeout_ms <= self.dedup_window_ms;
+        let allowed = [true, within_window, false][id as usize % 3];
+        assert!(!is_retry || allowed, "request {id} was retried {since_first_ms} ms after its first attempt");
+        let (outcome, finished) = if is_retry { ("delivered", 1) } else { ("dropped", 0) };
+        if is_retry {
+            self.answer(id);
+        }
+        let end = format!("{outcome}\t-\t{}\t-\t{finished}\t-", attempt.number);
+        self.plan(now + 20, format!("ATTEMPT_END\t{INSTANCE}\t{id}\t20\t{endpoint}\t{end}"));
+    }
+
+    fn answer(&mut self, id: u64) {
+        *self.answers.get_mut(&id).expect("a request that was sent") += 1;
+    }
+}
+
+/// The line of a request, whose class, plan, gateways and units follow from its id.
+fn request(id: u64) -> String {
+    let n = id as usize;
+    let class = ["look", "book", "pay"][n % 3];
+    let plan = ["p", "c"][n / 3 % 2];
+    let gateways_per_tenant = [1, 30][n % 2];
+    let units = 1 + n % 4;
+    let tenant = n % 5;
+    let tenant_and_class = format!("c{tenant}\t0\t{TIME_TO_DEADLINE_MS}\t{class}\t0");
+    format!("ORDER\t{INSTANCE}\t{id}\t{tenant_and_class}\t0\t{gateways_per_tenant}\t{units}\t{plan}")
+}
+
+/// What came of a run.
+struct Played {
+    answers: BTreeMap<u64, u32>,
+    retried_requests: usize,
+}
+
+/// Plays some settings, or returns the error of the start.
+fn play(settings: &Value) -> Result<Played, String> {
+    let mut simulator = Simulator::new(settings);
+    simulator.run()?;
+    let retried_requests = simulator.attempts.values().filter(|attempt| attempt.number > 0).count();
+    Ok(Played { answers: simulator.answers, retried_requests })
 }
 
 #[test]
-fn with_any_key_absent_or_zero_each_request_gets_one_answer_or_the_start_names_the_fault() {
-    let (mut all, mut faults) = (Vec::new(), Vec::new());
-    assert!(play(&settings()).is_ok_and(|(_, again)| again > 0));
-    paths(&settings(), "", &mut all);
-    let zero = |path: &String| {
-        let mut settings = settings();
-        let value = settings.pointer_mut(path).filter(|v| v.is_number())?;
-        *value = json!(0);
-        Some((format!("{path} = 0"), settings))
-    };
-    let zeros: Vec<_> = all.iter().filter_map(zero).collect();
-    let absent = all.iter().map(|path| (format!("no {path}"), without(path)));
-    for (what, settings) in absent.chain(zeros) {
+fn each_request_gets_one_answer_or_the_start_fails_with_any_setting_missing_or_zero() {
+    assert!(play(&settings()).is_ok_and(|played| played.retried_requests > 0));
+    let mut keys = Vec::new();
+    paths(&settings(), "", &mut keys);
+    let missing = keys.iter().map(|path| (format!("no {path}"), without(path)));
+    let zeros = keys.iter().filter_map(|path| Some((format!("{path} = 0"), with_zero(path)?)));
+
+    let mut errors = Vec::new();
+    for (change, settings) in missing.chain(zeros) {
         match play(&settings) {
-            Ok((answers, _)) => assert!(answers.values().all(|n| *n == 1), "{what}: {answers:?}"),
-            Err(fault) => faults.push(format!("{what}: {fault}")),
+            Ok(played) => assert!(played.answers.values().all(|n| *n == 1), "{change}: {:?}", played.answers),
+            Err(error) => errors.push(format!("{change}: {error}")),
         }
     }
-    let named = [
+
+    let expected = [
         "no /classes: line 2: settings name no request class",
         "no /classes/0/effect: line 2: settings: effect is \"\", expected idempotent, deduplicated or at_most_once",
         "no /classes/1/effect: line 2: settings: effect is \"\", expected idempotent, deduplicated or at_most_once",
@@ -153,5 +244,5 @@
         "/plans/0/burst = 0: line 2: settings: a plan's burst is 0, expected more than 0 where there is a rate",
         "/plans/1/burst = 0: line 2: settings: a plan's burst is 0, expected more than 0 where there is a rate",
     ];
-    assert_eq!(faults, named);
+    assert_eq!(errors, expected);
 }
