--- a/fleet/src/clients.rs
+++ b/fleet/src/clients.rs
@@ -1,149 +1,132 @@
-//! Clients and tenants: who asks what, when, and through which gateways, and what each tenant truly has left.
+//! Clients: which requests they send, when, through which gateways, and how they retry.
 
-use crate::experiment::Experiment;
+use crate::experiment::{Experiment, Load};
 use crate::random::Random;
-use ryefront_policy::Name;
+use crate::tenants::{Tenant, Tenants, cumulative};
+use crate::time::{self, Micros};
+use ryefront_policy::Millis;
 use std::f64::consts::TAU;
 
-/// One tenant.
-pub(crate) struct Tenant {
-    pub(crate) name: Name,
-    pub(crate) plan: usize,
-    pub(crate) first: u32,
-    pub(crate) spread: u32,
-    /// Its store by all that truly reached servers: units, and when that was, µs.
-    store: f64,
-    at: u64,
-    /// Units that truly reached servers.
-    pub(crate) used: f64,
-}
-
-/// One try of a client.
+/// One attempt of a client's request.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct ClientRequest {
     pub(crate) tenant: u32,
+    /// The index of its class.
     pub(crate) class: usize,
     pub(crate) units: f64,
-    /// Work at a server of speed 1, µs.
+    /// Work at an endpoint of speed 1, µs.
     pub(crate) work: f64,
     pub(crate) gateway: u32,
-    /// Tries before this one.
-    pub(crate) tries: u32,
-    /// Whether its first try came when results are counted.
+    /// Client attempts before this one.
+    pub(crate) retries: u32,
+    /// Whether the first attempt came after the warm-up, so that it counts in the metrics.
     pub(crate) counted: bool,
 }
 
-/// All clients and their tenants.
+/// A request that a client will send.
+pub(crate) struct ScheduledRequest {
+    pub(crate) at: Micros,
+    pub(crate) request: ClientRequest,
+}
+
+/// The source of new requests.
 pub(crate) struct Clients {
-    pub(crate) tenants: Vec<Tenant>,
-    /// Rate and burst of each plan.
-    rates: Vec<(f64, f64)>,
     gateways: u32,
-    weights: Vec<f64>,
-    classes: Vec<f64>,
-    rate: f64,
-    /// What is asked of all quotas together, as a share of them.
-    pub(crate) asked_of_quota: f64,
+    /// Cumulative weights by tenant.
+    tenant_weights: Vec<f64>,
+    /// Cumulative weights by class.
+    class_weights: Vec<f64>,
+    requests_per_s: f64,
     random: Random,
 }
 
 impl Clients {
-    /// Tenants drawn by chance; `share` of the load is played, through so many gateways.
-    pub(crate) fn new(experiment: &Experiment, share: f64, gateways: u32, seed: u64) -> Self {
-        let mut random = Random::new(seed, 1);
-        let load = &experiment.load;
-        let cumulative = |shares: Vec<f64>| -> Vec<f64> {
-            shares
-                .into_iter()
-                .scan(0.0, |sum, s| {
-                    *sum += s;
-                    Some(*sum)
-                })
-                .collect()
-        };
-        let plans = cumulative(experiment.plan.iter().map(|p| p.share).collect());
-        let rates: Vec<_> = experiment.plan.iter().map(|p| (p.rate, p.rate * p.burst_s)).collect();
-        let count = ((f64::from(load.tenants) * share).round() as u32).max(1);
-        let (mut weights, mut quotas) = (Vec::new(), 0.0);
-        let tenants = (0..count)
-            .map(|n| {
-                let plan = random.weighted(&plans);
-                let p = &experiment.plan[plan];
-                let spread = (random.within(p.spread) * f64::from(gateways)).round().max(1.0) as u32;
-                let heavy = random.unit() < load.heavy_share;
-                let times = random.within(if heavy { load.heavy_times } else { load.use_of_plan });
-                weights.push(p.rate * times);
-                quotas += rates[plan].0;
-                let first = random.below(gateways as usize) as u32;
-                // 16 hex digits below 2^33, as on the wire; an odd factor gives no two the same.
-                let name =
-                    format!("{:016x}", u64::from(n).wrapping_mul(0x9e37_79b9_7f4a_7c15) & 0x1_ffff_ffff);
-                Tenant { name: name.into(), plan, first, spread, store: rates[plan].1, at: 0, used: 0.0 }
-            })
-            .collect();
-        let rate = load.requests_per_s * share;
-        let units = f64::midpoint(f64::from(load.units[0]), f64::from(load.units[1]));
+    /// Clients that send so many requests per second, by the weights of their tenants.
+    pub(crate) fn new(
+        experiment: &Experiment, requests_per_s: f64, gateways: u32, tenant_weights: Vec<f64>, random: Random,
+    ) -> Self {
         Self {
-            tenants,
-            asked_of_quota: rate * units / quotas,
-            rates,
             gateways,
-            weights: cumulative(weights),
-            classes: cumulative(experiment.class.iter().map(|c| c.share).collect()),
-            rate,
+            tenant_weights,
+            class_weights: cumulative(experiment.classes.iter().map(|class| class.request_weight)),
+            requests_per_s,
             random,
         }
     }
 
-    /// When the next first try comes, µs, and what it is. Its rate goes up and down in waves.
-    pub(crate) fn next(&mut self, now: u64, experiment: &Experiment) -> (u64, Ask) {
+    /// Draws the next first attempt after a point in time.
+    pub(crate) fn next_request(
+        &mut self, now: Micros, experiment: &Experiment, tenants: &Tenants,
+    ) -> ScheduledRequest {
         let load = &experiment.load;
-        let peak = self.rate * (1.0 + load.swing);
+        let at = self.next_arrival(now, load);
+        let tenant = self.random.weighted(&self.tenant_weights) as u32;
+        let class = self.random.weighted(&self.class_weights);
+        let units =
+            load.units.low + self.random.below((load.units.high - load.units.low + 1) as usize) as u32;
+        let work = self.random.exponential() * experiment.classes[class].mean_work_ms * 1000.0;
+        let gateway = random_gateway(tenants.get(tenant), self.gateways, &mut self.random);
+        let request =
+            ClientRequest { tenant, class, units: units.into(), work, gateway, retries: 0, counted: false };
+        ScheduledRequest { at, request }
+    }
+
+    /// Draws the time of the next arrival: a Poisson process whose rate is a sine, by thinning one of its peak rate.
+    fn next_arrival(&mut self, now: Micros, load: &Load) -> Micros {
+        let peak = self.requests_per_s * (1.0 + load.rate_amplitude);
         let mut at = now as f64;
         loop {
             at += self.random.exponential() / peak * 1e6;
-            let wave = 1.0 + load.swing * (at / 1e6 / load.wave_s * TAU).sin();
-            if self.random.unit() * (1.0 + load.swing) < wave {
-                break;
+            let wave = 1.0 + load.rate_amplitude * (at / 1e6 / load.rate_period_s * TAU).sin();
+            if self.random.unit() * (1.0 + load.rate_amplitude) < wave {
+                return at.ceil() as Micros;
             }
         }
-        let tenant = self.random.weighted(&self.weights);
-        let class = self.random.weighted(&self.classes);
-        let units = load.units[0] + self.random.below((load.units[1] - load.units[0] + 1) as usize) as u32;
-        let work = self.random.exponential() * experiment.class[class].work_ms * 1000.0;
-        let Tenant { first, spread, .. } = self.tenants[tenant];
-        let gateway = (first + self.random.below(spread as usize) as u32) % self.gateways;
-        let ask = Ask {
-            tenant: tenant as u32,
-            class,
-            units: units.into(),
-            work,
-            gateway,
-            tries: 0,
-            counted: false,
-        };
-        (at.ceil() as u64, ask)
     }
+}
 
-    /// What a tenant truly has left, and how much it can have at most.
-    pub(crate) fn left(&self, tenant: u32, now: u64) -> (f64, f64) {
-        let tenant = &self.tenants[tenant as usize];
-        let (rate, burst) = self.rates[tenant.plan];
-        ((tenant.store + rate * (now - tenant.at) as f64 / 1e6).min(burst), burst)
+/// What clients do after they have sent a request.
+pub(crate) struct ClientBehavior {
+    load: Load,
+    random: Random,
+}
+
+impl ClientBehavior {
+    pub(crate) fn new(load: &Load, random: Random) -> Self {
+        Self { load: load.clone(), random }
     }
 
-    /// A request has reached a server: it takes its units. False: its tenant had not so many left.
-    pub(crate) fn charge(&mut self, tenant: u32, units: f64, now: u64) -> bool {
-        let (left, _) = self.left(tenant, now);
-        let tenant = &mut self.tenants[tenant as usize];
-        let within = left >= units;
-        (tenant.store, tenant.at) = (if within { left - units } else { left }, now);
-        tenant.used += units;
-        within
+    /// Draws whether a client disconnects before its deadline, and after which time.
+    pub(crate) fn disconnect_after(&mut self, time_to_deadline: Micros) -> Option<Micros> {
+        let probability = self.load.disconnect_probability;
+        let draw = self.random.unit();
+        (draw < probability).then(|| (time_to_deadline as f64 * (draw / probability)) as Micros)
     }
 
-    /// The rate and the burst of a tenant's plan.
-    pub(crate) fn quota(&self, tenant: &Tenant) -> (f64, f64) {
-        self.rates[tenant.plan]
+    /// Draws whether a client retries a rejected request, after which time, and through which gateway.
+    pub(crate) fn retry(
+        &mut self, mut request: ClientRequest, retry_after: Millis, tenant: &Tenant, gateways: u32,
+    ) -> Option<ScheduledRetry> {
+        let draw = self.random.unit();
+        let backoff_ms = self.random.within(self.load.backoff_ms);
+        if request.retries >= self.load.max_retries || draw >= self.load.retry_probability {
+            return None;
+        }
+        request.retries += 1;
+        request.gateway = random_gateway(tenant, gateways, &mut self.random);
+        let delay_ms = backoff_ms.max(retry_after.min(self.load.max_retry_after_ms));
+        Some(ScheduledRetry { delay: time::from_ms_ceil(delay_ms), request })
     }
 }
+
+/// A rejected request that a client will send again.
+pub(crate) struct ScheduledRetry {
+    pub(crate) delay: Micros,
+    pub(crate) request: ClientRequest,
+}
+
+/// Draws one of the gateways that serve a tenant.
+fn random_gateway(tenant: &Tenant, gateways: u32, random: &mut Random) -> u32 {
+    let offset = random.below(tenant.gateway_count as usize) as u32;
+    (tenant.first_gateway + offset) % gateways
+}
--- a/fleet/src/counter.rs
+++ b/fleet/src/counter.rs
@@ -1,75 +1,111 @@
-//! The shared counter: parts, each of which does one call after another at a fixed pace.
+//! The shared counter: partitions, each of which serves one call after another at a fixed pace.
 
 use crate::experiment;
 use crate::random::Random;
-use ryefront_policy::CounterResult;
+use crate::time::{self, Micros};
+use ryefront_policy::{CounterResult, Millis};
 use std::collections::HashMap;
 
-/// Names that have run out are dropped after so many calls.
-const TIDY: u64 = 100_000;
-/// The process of a gateway gives up after so many of the settings' time-outs.
-const PATIENCE: f64 = 4.0;
+/// Expired keys are removed after so many calls.
+const CALLS_BETWEEN_CLEANUPS: u64 = 100_000;
+/// A gateway abandons a call after so many counter timeouts of its settings.
+const CLIENT_TIMEOUT_FACTOR: f64 = 4.0;
+/// The longest service time, as a multiple of the mean.
+const MAX_SERVICE_TIME_FACTOR: f64 = 8.0;
 
-/// How a call went: its outcome and when the counter was done with it, µs.
-pub(crate) struct Served {
-    pub(crate) outcome: CounterResult,
-    pub(crate) done: u64,
+/// A call that a gateway sent.
+pub(crate) struct CounterCall {
+    pub(crate) gateway: u32,
+    pub(crate) key: u64,
+    pub(crate) amount: f64,
+    pub(crate) ttl: Millis,
+    pub(crate) sent_at: Micros,
 }
 
-struct Count {
-    total: f64,
-    ends: u64,
+/// What a call led to, and when that was known.
+pub(crate) struct CounterReply {
+    pub(crate) result: CounterResult,
+    pub(crate) at: Micros,
 }
 
-/// The counter and what was asked of it.
-pub(crate) struct Counter {
-    counts: HashMap<u64, Count>,
-    free_at: Vec<u64>,
-    pace: u64,
-    longest_wait: u64,
-    /// A gateway gives a call up after this, µs.
-    pub(crate) patience: u64,
+/// Calls since the start.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct CounterStatistics {
     pub(crate) calls: u64,
-    pub(crate) turned_away: u64,
-    pub(crate) unanswered: u64,
+    /// Rejected by the counter, as they would have waited too long.
+    pub(crate) rejected: u64,
+    /// Abandoned by the gateway.
+    pub(crate) timed_out: u64,
+}
+
+struct Total {
+    value: f64,
+    expires_at: Micros,
+}
+
+/// The counter.
+pub(crate) struct Counter {
+    totals: HashMap<u64, Total>,
+    /// When each partition has served the calls it has accepted.
+    partition_free_at: Vec<Micros>,
+    service_time: Micros,
+    max_wait: Micros,
+    client_timeout: Micros,
+    statistics: CounterStatistics,
 }
 
 impl Counter {
-    /// A counter of which a share is played.
-    pub(crate) fn new(plan: &experiment::Counter, share: f64) -> Self {
-        let per_part = plan.per_s * share / f64::from(plan.parts);
+    /// A counter with a fraction of the calls per second of its settings.
+    pub(crate) fn new(settings: &experiment::Counter, fraction: f64) -> Self {
+        let partition_calls_per_s = settings.calls_per_s * fraction / f64::from(settings.partitions);
         Self {
-            counts: HashMap::new(),
-            free_at: vec![0; plan.parts as usize],
-            pace: (1e6 / per_part).round() as u64,
-            longest_wait: (plan.longest_wait_ms * 1000.0) as u64,
-            patience: (plan.timeout_ms * PATIENCE * 1000.0) as u64,
-            calls: 0,
-            turned_away: 0,
-            unanswered: 0,
+            totals: HashMap::new(),
+            partition_free_at: vec![0; settings.partitions as usize],
+            service_time: (1e6 / partition_calls_per_s).round() as Micros,
+            max_wait: time::from_ms(settings.max_wait_ms),
+            client_timeout: (settings.timeout_ms * CLIENT_TIMEOUT_FACTOR * 1000.0) as Micros,
+            statistics: CounterStatistics::default(),
         }
     }
 
-    /// A call reaches the counter: turned away if it would wait too long, else added in its turn.
-    pub(crate) fn add(&mut self, now: u64, name: u64, amount: f64, keep: f64, random: &mut Random) -> Served {
-        self.calls += 1;
-        if self.calls.is_multiple_of(TIDY) {
-            self.counts.retain(|_, count| count.ends > now);
+    pub(crate) fn statistics(&self) -> CounterStatistics {
+        self.statistics
+    }
+
+    /// Serves a call that has reached the counter, or rejects it if it would wait too long.
+    pub(crate) fn serve(&mut self, call: &CounterCall, now: Micros, random: &mut Random) -> CounterReply {
+        self.statistics.calls += 1;
+        if self.statistics.calls.is_multiple_of(CALLS_BETWEEN_CLEANUPS) {
+            self.totals.retain(|_, total| total.expires_at > now);
+        }
+        let partition = (call.key % self.partition_free_at.len() as u64) as usize;
+        let start = self.partition_free_at[partition].max(now);
+        if start - now > self.max_wait {
+            self.statistics.rejected += 1;
+            return CounterReply { result: CounterResult::NotAdded, at: now };
         }
-        let part = (name % self.free_at.len() as u64) as usize;
-        let start = self.free_at[part].max(now);
-        if start - now > self.longest_wait {
-            self.turned_away += 1;
-            return Served { outcome: CounterResult::NotAdded, done: now };
+        self.partition_free_at[partition] = start + self.service_time;
+        let total = self.totals.entry(call.key).or_insert(Total { value: 0.0, expires_at: 0 });
+        if total.expires_at <= now {
+            *total = Total { value: 0.0, expires_at: now + time::from_ms(call.ttl) };
         }
-        self.free_at[part] = start + self.pace;
-        let count = self.counts.entry(name).or_insert(Count { total: 0.0, ends: 0 });
-        if count.ends <= now {
-            *count = Count { total: 0.0, ends: now + (keep * 1000.0) as u64 };
+        total.value += call.amount;
+        // Service times vary, while each partition accepts calls at a fixed pace.
+        let factor = random.exponential().min(MAX_SERVICE_TIME_FACTOR);
+        let at = start + (self.service_time as f64 * factor) as Micros;
+        CounterReply { result: CounterResult::Total(total.value), at }
+    }
+
+    /// The reply as the calling gateway sees it: abandoned where it comes after the gateway's timeout.
+    pub(crate) fn reply_at_gateway(
+        &mut self, call: &CounterCall, reply: &CounterReply, network_delay: Micros, now: Micros,
+    ) -> CounterReply {
+        let at = reply.at + network_delay;
+        let timeout_at = call.sent_at + self.client_timeout;
+        if at <= timeout_at {
+            return CounterReply { result: reply.result, at };
         }
-        count.total += amount;
-        // No call takes the same time as the one before.
-        let done = start + (self.pace as f64 * random.exponential().min(8.0)) as u64;
-        Served { outcome: CounterResult::Total(count.total), done }
+        self.statistics.timed_out += 1;
+        CounterReply { result: CounterResult::Unknown, at: timeout_at.max(now) }
     }
 }
--- a/fleet/src/discovery.rs
+++ b/fleet/src/discovery.rs
@@ -1,101 +1,129 @@
-//! Discovery: the lists it writes, as text in the form that gateways read, and the changes it gathers.
+//! Discovery: the endpoint lists it publishes, as text in the form that gateways read, and the changes it collects.
 
-use ryefront_gateway::discovery::{List, ListError};
-use ryefront_policy::EndpointState;
+use crate::gateway_process::{EndpointList, ListError};
+use ryefront_policy::{EndpointState, Millis};
 use std::fmt::Write;
 
-/// One row of a list.
+/// One entry of an endpoint list.
 #[derive(Clone, Debug)]
-pub(crate) struct Row {
-    pub(crate) server: u32,
+pub(crate) struct ListEntry {
+    pub(crate) endpoint: u32,
     pub(crate) zone: u32,
     pub(crate) cell: u64,
     pub(crate) state: EndpointState,
-    /// When it started, ms; 0 for long ago.
-    pub(crate) started: f64,
+    /// 0 for long ago.
+    pub(crate) started_at: Millis,
 }
 
-/// A server's name.
-fn server_name(server: u32) -> String {
-    format!("s-{server:08x}")
+/// Whether a list is complete.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ListKind {
+    Snapshot,
+    Delta,
 }
 
-/// The server of a name.
-pub(crate) fn server_of(name: &str) -> Option<usize> {
+fn endpoint_name(endpoint: u32) -> String {
+    format!("s-{endpoint:08x}")
+}
+
+/// The number of the endpoint with a name.
+pub(crate) fn endpoint_number(name: &str) -> Option<usize> {
     usize::from_str_radix(name.strip_prefix("s-")?, 16).ok()
 }
 
-/// A zone's name.
 pub(crate) fn zone_name(zone: u32) -> String {
     format!("zone-{zone}")
 }
 
-/// A list as text. Addresses are made up, as nothing here connects.
-pub(crate) fn text<'a>(seq: u64, whole: bool, rows: impl IntoIterator<Item = &'a Row>) -> String {
-    let mut text = format!("{{\"seq\":{seq},\"whole\":{whole},\"hosts\":[");
-    for (n, row) in rows.into_iter().enumerate() {
-        let health = match row.state {
-            EndpointState::Ready => "in_service",
-            EndpointState::Draining => "terminating",
-            EndpointState::Removed => "terminated",
-        };
-        let [_, a, b, c] = row.server.to_be_bytes();
-        let comma = if n > 0 { "," } else { "" };
-        // Writing to a text cannot fail.
-        let _ = write!(
-            text,
-            "{comma}{{\"host\":\"{}\",\"dial\":\"127.{a}.{b}.{c}:7070\",\"site\":\"{}\",\"class\":\"m2\",\"block\":{},\
-             \"health\":\"{health}\",\"share\":1.0,\"born_ms\":{}}}",
-            server_name(row.server),
-            zone_name(row.zone),
-            row.cell,
-            row.started,
-        );
+/// A list as JSON. Its addresses are placeholders, as nothing connects to them.
+pub(crate) fn list_text<'a>(
+    version: u64, kind: ListKind, entries: impl IntoIterator<Item = &'a ListEntry>,
+) -> String {
+    let whole = kind == ListKind::Snapshot;
+    let mut text = format!("{{\"seq\":{version},\"whole\":{whole},\"hosts\":[");
+    for (index, entry) in entries.into_iter().enumerate() {
+        if index > 0 {
+            text.push(',');
+        }
+        write_entry(&mut text, entry);
     }
     text.push_str("]}");
     text
 }
 
-/// A list that has been written, and what it takes on the wire.
-pub(crate) struct Batch {
-    pub(crate) list: List,
+fn write_entry(text: &mut String, entry: &ListEntry) {
+    let health = match entry.state {
+        EndpointState::Ready => "in_service",
+        EndpointState::Draining => "terminating",
+        EndpointState::Removed => "terminated",
+    };
+    let [_, a, b, c] = entry.endpoint.to_be_bytes();
+    // Writing to a String cannot fail.
+    let _ = write!(
+        text,
+        "{{\"host\":\"{}\",\"dial\":\"127.{a}.{b}.{c}:7070\",\"site\":\"{}\",\"class\":\"m2\",\"block\":{},\
+         \"health\":\"{health}\",\"share\":1.0,\"born_ms\":{}}}",
+        endpoint_name(entry.endpoint),
+        zone_name(entry.zone),
+        entry.cell,
+        entry.started_at,
+    );
+}
+
+/// A list that was published.
+pub(crate) struct PublishedList {
+    /// The list as a gateway reads it.
+    pub(crate) list: EndpointList,
+    /// The size of its text.
     pub(crate) bytes: u64,
 }
 
-/// Discovery's own state.
+/// Discovery's state.
 #[derive(Default)]
 pub(crate) struct Discovery {
-    /// All lists written so far; a list's version is its place, from 1.
-    pub(crate) batches: Vec<Batch>,
-    pending: Vec<Row>,
+    /// All lists; the version of a list is its index plus 1.
+    published: Vec<PublishedList>,
+    /// Changes since the last list.
+    pending: Vec<ListEntry>,
 }
 
 impl Discovery {
-    /// Something has changed.
-    pub(crate) fn note(&mut self, row: Row) {
-        self.pending.push(row);
+    /// The list with an index.
+    pub(crate) fn list(&self, index: usize) -> &PublishedList {
+        &self.published[index]
+    }
+
+    /// How many lists were published.
+    pub(crate) fn list_count(&self) -> usize {
+        self.published.len()
+    }
+
+    /// Records a change for the next list.
+    pub(crate) fn record(&mut self, entry: ListEntry) {
+        self.pending.push(entry);
     }
 
-    /// Writes the whole list; tells its place.
+    /// Publishes a complete list and returns its index.
     ///
     /// # Errors
-    /// When the real parser does not take it.
-    pub(crate) fn whole(&mut self, rows: &[Row]) -> Result<usize, ListError> {
-        self.write(true, rows)
+    /// When the gateways' parser rejects it.
+    pub(crate) fn publish_snapshot(&mut self, entries: &[ListEntry]) -> Result<usize, ListError> {
+        self.publish(ListKind::Snapshot, entries)
     }
 
-    /// Writes what has changed since the last list, if anything has; tells its place.
+    /// Publishes the changes since the last list, if there are any, and returns its index.
     ///
     /// # Errors
-    /// When the real parser does not take it.
-    pub(crate) fn changes(&mut self) -> Result<Option<usize>, ListError> {
-        let rows = std::mem::take(&mut self.pending);
-        if rows.is_empty() { Ok(None) } else { self.write(false, &rows).map(Some) }
+    /// When the gateways' parser rejects it.
+    pub(crate) fn publish_changes(&mut self) -> Result<Option<usize>, ListError> {
+        let entries = std::mem::take(&mut self.pending);
+        if entries.is_empty() { Ok(None) } else { self.publish(ListKind::Delta, &entries).map(Some) }
     }
 
-    fn write(&mut self, whole: bool, rows: &[Row]) -> Result<usize, ListError> {
-        let text = text(self.batches.len() as u64 + 1, whole, rows);
-        self.batches.push(Batch { list: List::parse(text.as_bytes())?, bytes: text.len() as u64 });
-        Ok(self.batches.len() - 1)
+    fn publish(&mut self, kind: ListKind, entries: &[ListEntry]) -> Result<usize, ListError> {
+        let text = list_text(self.published.len() as u64 + 1, kind, entries);
+        self.published
+            .push(PublishedList { list: EndpointList::parse(text.as_bytes())?, bytes: text.len() as u64 });
+        Ok(self.published.len() - 1)
     }
 }
--- /dev/null
+++ b/fleet/src/gateway_process.rs
@@ -0,0 +1,216 @@
+//! One gateway process without its sockets: the real policy engine, the real endpoint registry, and a modelled pool
+//! of connections. All uses of the gateway's list code and registry pass through this module.
+
+use crate::discovery::{PublishedList, zone_name};
+use crate::experiment::{Experiment, Plan};
+use crate::time::{self, Micros};
+use ryefront_gateway::discovery::List;
+pub(crate) use ryefront_gateway::discovery::ListError;
+use ryefront_gateway::endpoint::EndpointRegistry;
+use ryefront_policy::{Action, Event, LoadReportSource, PolicyEngine, QuotaPlan, Settings, SettingsError};
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// File descriptors of a gateway process.
+const FILE_DESCRIPTORS: usize = 1024;
+const CONNECT_TIMEOUT_MS: f64 = 250.0;
+const MAX_ATTEMPTS: u32 = 6;
+const CROSS_ZONE_COST: f64 = 0.01;
+
+/// The settings of a gateway.
+pub(crate) fn settings(experiment: &Experiment, gateways: u32, index: u32, zone: u32) -> Settings {
+    let load = &experiment.load;
+    let endpoints = &experiment.endpoints;
+    Settings {
+        gateway_count: gateways,
+        gateway_index: index,
+        zone: zone_name(zone).into(),
+        tick: 1.0,
+        classes: experiment.classes.iter().map(|class| class.request_class()).collect(),
+        plans: experiment.plans.iter().map(quota_plan).collect(),
+        has_counter: true,
+        counter_timeout: experiment.counter.timeout_ms,
+        settles_usage: false,
+        max_units: load.units.high.into(),
+        load_report_source: LoadReportSource::Responses,
+        health_checks: false,
+        gossip: false,
+        cancellation: true,
+        polls_endpoints: false,
+        connect_timeout: CONNECT_TIMEOUT_MS,
+        max_attempts: MAX_ATTEMPTS,
+        max_retry_after: load.max_retry_after_ms,
+        slow_start_initial_fraction: endpoints.slow_start_initial_fraction,
+        slow_start_duration: endpoints.slow_start_s * 1000.0,
+        overload_factor: endpoints.overload_factor,
+        overload_window: endpoints.overload_window_s * 1000.0,
+        cross_zone_cost: CROSS_ZONE_COST,
+    }
+}
+
+fn quota_plan(plan: &Plan) -> QuotaPlan {
+    QuotaPlan {
+        name: plan.name.as_str().into(),
+        rate: plan.rate,
+        burst: plan.rate * plan.burst_s,
+        max_in_flight: 0,
+        ceiling_rate: 0.0,
+        ceiling_burst: 0.0,
+        ceiling_slack: 0.0,
+        weight_factor: 1.0,
+        over_quota_weight: plan.over_quota_weight,
+        over_quota_cost: plan.over_quota_cost,
+    }
+}
+
+/// An endpoint list as the gateway's code reads it.
+pub(crate) struct EndpointList(List);
+
+impl EndpointList {
+    /// # Errors
+    /// When the gateway's parser rejects the list.
+    pub(crate) fn parse(text: &[u8]) -> Result<Self, ListError> {
+        List::parse(text).map(Self)
+    }
+
+    pub(crate) fn is_snapshot(&self) -> bool {
+        self.0.whole
+    }
+
+    /// The list as an event for the policy engine.
+    pub(crate) fn event(&self) -> Event {
+        self.event_with(self.0.hosts.iter().map(|host| host.entry.clone()).collect())
+    }
+
+    /// The same without a copy of the entries.
+    pub(crate) fn into_event(mut self) -> Event {
+        let entries = std::mem::take(&mut self.0.hosts).into_iter().map(|host| host.entry).collect();
+        self.event_with(entries)
+    }
+
+    fn event_with(&self, entries: Vec<ryefront_policy::EndpointEntry>) -> Event {
+        if self.is_snapshot() { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) }
+    }
+}
+
+/// A real endpoint registry, which has no connections.
+#[derive(Clone)]
+pub(crate) struct Registry(Rc<EndpointRegistry>);
+
+impl Registry {
+    pub(crate) fn new(idle_timeout: Duration) -> Self {
+        Self(EndpointRegistry::new(
+            Duration::from_secs_f64(CONNECT_TIMEOUT_MS / 1000.0),
+            idle_timeout,
+            LoadReportSource::Responses,
+            FILE_DESCRIPTORS,
+        ))
+    }
+
+    pub(crate) fn apply(&self, list: &EndpointList) {
+        self.0.update(&list.0);
+    }
+
+    pub(crate) fn shared(&self) -> Rc<EndpointRegistry> {
+        self.0.clone()
+    }
+}
+
+/// The idle connections of a gateway.
+#[derive(Default)]
+pub(crate) struct ConnectionPool {
+    /// For each endpoint, since when each connection is idle.
+    idle_since: HashMap<u32, Vec<Micros>>,
+}
+
+impl ConnectionPool {
+    /// Takes the connection that was used last, if one has not reached the idle timeout.
+    pub(crate) fn acquire(&mut self, endpoint: u32, now: Micros, idle_timeout: Micros) -> bool {
+        let Some(idle_since) = self.idle_since.get_mut(&endpoint) else { return false };
+        idle_since.retain(|since| now - since < idle_timeout);
+        idle_since.pop().is_some()
+    }
+
+    pub(crate) fn release(&mut self, endpoint: u32, now: Micros) {
+        self.idle_since.entry(endpoint).or_default().push(now);
+    }
+
+    /// Removes all connections to an endpoint, as it is gone.
+    pub(crate) fn close_all(&mut self, endpoint: u32) {
+        self.idle_since.remove(&endpoint);
+    }
+}
+
+/// Bytes of the endpoint lists that a gateway received.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct ListBytes {
+    pub(crate) snapshots: u64,
+    pub(crate) deltas: u64,
+}
+
+/// One gateway process.
+pub(crate) struct GatewayProcess {
+    engine: PolicyEngine,
+    registry: Option<Registry>,
+    zone: u32,
+    /// When it received each list.
+    list_received_at: Vec<Option<Micros>>,
+    list_bytes: ListBytes,
+    pub(crate) connections: ConnectionPool,
+}
+
+impl GatewayProcess {
+    /// # Errors
+    /// When the policy engine rejects the settings.
+    pub(crate) fn new(
+        settings: Settings, zone: u32, seed: u64, registry: Option<Registry>,
+    ) -> Result<Self, SettingsError> {
+        Ok(Self {
+            engine: PolicyEngine::new(settings, seed)?,
+            registry,
+            zone,
+            list_received_at: Vec::new(),
+            list_bytes: ListBytes::default(),
+            connections: ConnectionPool::default(),
+        })
+    }
+
+    /// Its zone, counted over all regions.
+    pub(crate) fn zone(&self) -> u32 {
+        self.zone
+    }
+
+    pub(crate) fn list_bytes(&self) -> ListBytes {
+        self.list_bytes
+    }
+
+    /// When it received the list with an index, if it did.
+    pub(crate) fn received_list_at(&self, list: usize) -> Option<Micros> {
+        self.list_received_at.get(list).copied().flatten()
+    }
+
+    /// Passes an event to the policy engine.
+    pub(crate) fn handle(&mut self, now: Micros, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.engine.handle(time::wall_clock(now), event, &mut actions);
+        actions
+    }
+
+    /// Applies a list to the registry, as a real gateway does first, and returns the event for the policy engine.
+    pub(crate) fn receive_list(&mut self, published: &PublishedList, index: usize, now: Micros) -> Event {
+        if self.list_received_at.len() <= index {
+            self.list_received_at.resize(index + 1, None);
+        }
+        self.list_received_at[index] = Some(now);
+        if published.list.is_snapshot() {
+            self.list_bytes.snapshots += published.bytes;
+        } else {
+            self.list_bytes.deltas += published.bytes;
+        }
+        if let Some(registry) = &self.registry {
+            registry.apply(&published.list);
+        }
+        published.list.event()
+    }
+}
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,25 +1,42 @@
-//! A model of a fleet: hollow gateways, which are the real decision module and the real list code without
-//! sockets, share one process and one virtual clock with modelled clients, tenants, counter parts, discovery,
-//! zones, regions and pick servers. [`run`] plays an experiment, [`slopes`] measures what each role costs.
+//! A model of a fleet of gateways in virtual time.
 //!
-//! Nothing here reads the time of day while it plays: the same experiment and seed give the same result, byte
-//! for byte.
+//! The gateways are the real policy engine and the real endpoint list code without sockets. They share one process and
+//! one virtual clock with models of clients, tenants, counter, discovery, network and endpoints. [`run`] simulates an
+//! experiment, [`slopes`] measures what each role costs.
+//!
+//! A simulation never reads the time of day: the same experiment and seed give the same result, byte for byte.
+//!
+//! The modules in reading order:
+//!
+//! - `experiment`: the file that describes a fleet and its load.
+//! - `simulation`: the loop; `event_queue`, `time`, `random` and `setup` serve it.
+//! - `clients`, `tenants`, `attempts`, `requests`: who sends what, and what becomes of it.
+//! - `gateway_process`, `endpoints`, `counter`, `discovery`, `network`: the parts of the fleet.
+//! - `lifecycle`: the replacement of endpoints.
+//! - `report`: what is counted, and the result.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod attempts;
 mod clients;
 mod counter;
 mod discovery;
-mod experiment;
-mod gateways;
+mod endpoints;
+mod event_queue;
+pub mod experiment;
+mod gateway_process;
+mod lifecycle;
+mod network;
 mod random;
-mod report;
-mod servers;
+pub mod report;
+mod requests;
+mod setup;
+mod simulation;
 pub mod slopes;
-
-mod world;
+mod tenants;
+mod time;
 
 pub use experiment::{Experiment, ExperimentError};
-pub use report::{Invariant, Report};
-pub use world::{RunError, run};
+pub use report::Report;
+pub use simulation::{RunError, run};
--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -1,19 +1,19 @@
-//! The command: see `ryefront-fleet --help`.
+//! The command line: see `ryefront-fleet --help`.
 
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand, ValueEnum};
-use ryefront_fleet::slopes::{self, Load, Sizes, SlopesError};
+use ryefront_fleet::slopes::{self, MemoryLoad, Sizes, SlopesError};
 use ryefront_fleet::{Experiment, Report};
 use std::error::Error;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::{self, ExitCode};
 
-/// A model of a fleet of gateways: what each role costs, and how a whole fleet fares.
+/// A model of a fleet of gateways: what each role costs, and how a complete fleet performs.
 ///
-/// The gateways are real in what they decide and in how they take lists in; clients, counter, discovery, network
-/// and pick servers are modelled, in virtual time. Logs go to standard error.
+/// The gateways' policy engine and endpoint list code are real; clients, counter, discovery, network and endpoints are
+/// modelled, in virtual time. Logs go to standard error.
 #[derive(Parser)]
 #[command(name = "ryefront-fleet", version)]
 struct Cli {
@@ -23,22 +23,22 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Measure what one unit of each role costs, in time and bytes, up to the target's sizes.
+    /// Measure what one unit of each role costs, in time and bytes, up to the target sizes.
     ///
-    /// Nothing is modelled: the real decisions and the real list code are timed alone, on one core, and a line or a
-    /// logarithm is fitted through the points and read at the target (26,000 servers, 300,000 tenants, 15,000
-    /// routes). Gateways grow with servers as at the target (3,100 to 26,000), from 300 on. A route stands for one
-    /// of the settings' classes. Bytes are the growth of resident memory of a process of its own for each size.
-    /// Run it from a release build on a machine that is not busy.
+    /// Nothing is modelled: the real policy engine and the real endpoint list code are timed alone, on one core, and a
+    /// line or a logarithm is fitted through the points and evaluated at the target (26,000 endpoints, 300,000 tenants,
+    /// 15,000 routes). The number of gateways is proportional to the endpoints as at the target (3,100 to 26,000), and
+    /// at least 300. A route is a request class of the settings. Bytes are the growth of resident memory of a process
+    /// of its own for each size. Run it from a release build on a machine that is not busy.
     Slopes {
-        /// An array of objects (name, unit, points, at_target and more) in place of the table.
+        /// Print an array of objects (name, unit, points, at_target and more) instead of the table.
         #[arg(long)]
         json: bool,
     },
-    /// Play an experiment and tell what came of it.
+    /// Simulate an experiment and print its result.
     ///
     /// The summary goes to standard output. The same file and seed give the same result, byte for byte. The
-    /// status is 0 if all invariants held, 1 if one was broken (standard error says which), 2 if the file cannot
+    /// status is 0 if all invariants held, 1 if one was violated (standard error says which), 2 if the file cannot
     /// be used.
     ///
     /// Try: ryefront-fleet run fleet/experiments/calm-300.toml --gateways 30
@@ -46,63 +46,79 @@
         /// The experiment; fleet/experiments/ holds some, and each key is explained there.
         #[arg(value_name = "EXPERIMENT.toml")]
         file: PathBuf,
-        /// The seed in place of the file's.
+        /// The seed instead of the one in the file.
         #[arg(long)]
         seed: Option<u64>,
-        /// Play so many gateways, with servers, tenants, requests and counter in proportion to the file's fleet.
+        /// Simulate so many gateways, with endpoints, tenants, requests and counter in proportion to the fleet in the
+        /// file.
         #[arg(long, value_parser = clap::value_parser!(u32).range(1..=100_000))]
         gateways: Option<u32>,
-        /// Write result.json and summary.md into this directory, which is made if need be. Without it nothing is
+        /// Write result.json and summary.md into this directory, which is created if necessary. Without it nothing is
         /// written.
         #[arg(long, value_name = "DIR")]
         out: Option<PathBuf>,
     },
-    /// Print by how many bytes this process grows with a load. For `slopes`.
+    /// Print by how many bytes this process grows with a load. Used by `slopes`.
     #[command(hide = true)]
-    Weigh { load: Weighed, size: usize },
+    Memory { load: MemoryLoadArgument, size: usize },
 }
 
-/// See [`Load`].
+/// See [`MemoryLoad`].
 #[derive(Clone, Copy, ValueEnum)]
-enum Weighed {
+enum MemoryLoadArgument {
     Tenants,
     Endpoints,
 }
 
-/// A file or option that cannot be used.
+impl From<MemoryLoadArgument> for MemoryLoad {
+    fn from(load: MemoryLoadArgument) -> Self {
+        match load {
+            MemoryLoadArgument::Tenants => Self::Tenants,
+            MemoryLoadArgument::Endpoints => Self::Endpoints,
+        }
+    }
+}
+
+/// The exit status for a file or an option that cannot be used.
 const UNUSABLE: u8 = 2;
 
 fn main() -> ExitCode {
     tracing_subscriber::fmt().with_writer(io::stderr).with_ansi(false).init();
-    let done = match Cli::parse().command {
-        Command::Slopes { json } => measure(json),
-        Command::Run { file, seed, gateways, out } => play(&file, seed, gateways, out.as_deref()),
-        Command::Weigh { load, size } => {
-            let load = if let Weighed::Tenants = load { Load::Tenants } else { Load::Endpoints };
-            slopes::weigh(load, size).map(|bytes| println!("{bytes}")).map_err(Into::into)
-        }
-        .map(|()| ExitCode::SUCCESS),
+    let result = match Cli::parse().command {
+        Command::Slopes { json } => measure_slopes(json),
+        Command::Run { file, seed, gateways, out } => run(&file, seed, gateways, out.as_deref()),
+        Command::Memory { load, size } => print_memory(load.into(), size),
     };
-    done.unwrap_or_else(|error| {
+    result.unwrap_or_else(|error| {
         eprintln!("{error}");
         UNUSABLE.into()
     })
 }
 
-fn measure(json: bool) -> Result<ExitCode, Box<dyn Error>> {
-    let this = std::env::current_exe()?;
-    let weigh = |load, size: usize| {
-        let load = if load == Load::Tenants { "tenants" } else { "endpoints" };
-        let output = process::Command::new(&this).args(["weigh", load, &size.to_string()]).output()?;
-        let bytes = String::from_utf8_lossy(&output.stdout).trim().parse();
-        bytes.map_err(|_| SlopesError::Io(io::Error::other(String::from_utf8_lossy(&output.stderr))))
+fn measure_slopes(json: bool) -> Result<ExitCode, Box<dyn Error>> {
+    let slopes = slopes::measure(&Sizes::default(), &memory_of_new_process)?;
+    print!("{}", if json { slopes::json(&slopes) } else { slopes::table(&slopes) });
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Runs the `memory` command of this program.
+fn memory_of_new_process(load: MemoryLoad, size: usize) -> Result<u64, SlopesError> {
+    let load = match load {
+        MemoryLoad::Tenants => "tenants",
+        MemoryLoad::Endpoints => "endpoints",
     };
-    let slopes = slopes::measure(&Sizes::default(), &weigh)?;
-    print!("{}", if json { slopes::json(&slopes) } else { slopes::table_of(&slopes) });
+    let program = std::env::current_exe()?;
+    let output = process::Command::new(program).args(["memory", load, &size.to_string()]).output()?;
+    let bytes = String::from_utf8_lossy(&output.stdout).trim().parse();
+    bytes.map_err(|_| SlopesError::Io(io::Error::other(String::from_utf8_lossy(&output.stderr))))
+}
+
+fn print_memory(load: MemoryLoad, size: usize) -> Result<ExitCode, Box<dyn Error>> {
+    println!("{}", slopes::measure_memory(load, size)?);
     Ok(ExitCode::SUCCESS)
 }
 
-fn play(
+fn run(
     file: &Path, seed: Option<u64>, gateways: Option<u32>, out: Option<&Path>,
 ) -> Result<ExitCode, Box<dyn Error>> {
     let mut experiment = Experiment::read(file)?;
@@ -113,8 +129,8 @@
     }
     print!("{}", report.markdown());
     let mut status = ExitCode::SUCCESS;
-    for broken in report.broken() {
-        eprintln!("broken: {} ({}, at most {})", broken.name, broken.figure, broken.most);
+    for invariant in report.violations() {
+        eprintln!("violated: {} ({}, at most {})", invariant.name, invariant.value, invariant.limit);
         status = ExitCode::FAILURE;
     }
     Ok(status)
--- a/fleet/src/random.rs
+++ b/fleet/src/random.rs
@@ -1,38 +1,55 @@
-//! Chance: a fixed generator with a seed, so that results stay the same from one build to the next.
+//! Random numbers: a fixed generator with a seed, so that results stay the same from one build to the next.
 
+use crate::experiment::Interval;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
-/// A stream of chance. Each part of the model has its own, so that what one draws moves no other.
+/// The parts of the model that draw random numbers. Each has a stream of its own, so that the draws of one do not
+/// change those of another.
+#[derive(Clone, Copy)]
+pub(crate) enum Stream {
+    /// Tenants, and the requests of their clients.
+    Clients = 1,
+    /// The fleet at its start.
+    Fleet = 2,
+    /// Network and notification delays.
+    Network = 3,
+    /// Disconnects and retries.
+    ClientBehavior = 4,
+    /// Errors, counter service times, and the speed of new endpoints.
+    Service = 5,
+}
+
+/// A stream of random numbers.
 pub(crate) struct Random(Pcg64Mcg);
 
 impl Random {
-    /// A stream by the run's seed and its own number.
-    pub(crate) fn new(seed: u64, stream: u64) -> Self {
-        Self(Pcg64Mcg::seed_from_u64(seed ^ stream.wrapping_mul(0x9e37_79b9_7f4a_7c15)))
+    /// One of the streams of a seed.
+    pub(crate) fn new(seed: u64, stream: Stream) -> Self {
+        Self(Pcg64Mcg::seed_from_u64(seed ^ (stream as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15)))
     }
 
-    /// Any number.
+    /// 64 random bits.
     pub(crate) fn bits(&mut self) -> u64 {
         self.0.next_u64()
     }
 
-    /// In [0, 1).
+    /// A number in [0, 1).
     pub(crate) fn unit(&mut self) -> f64 {
         (self.bits() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Evenly in a range.
-    pub(crate) fn within(&mut self, range: [f64; 2]) -> f64 {
-        range[0] + (range[1] - range[0]) * self.unit()
+    /// A number of an interval, uniformly.
+    pub(crate) fn within(&mut self, interval: Interval<f64>) -> f64 {
+        interval.low + (interval.high - interval.low) * self.unit()
     }
 
-    /// A whole number below `end`, or 0.
+    /// A whole number below `end`, uniformly; 0 if `end` is 0.
     pub(crate) fn below(&mut self, end: usize) -> usize {
         ((self.unit() * end as f64) as usize).min(end.saturating_sub(1))
     }
 
-    /// Exponential, with a mean of 1.
+    /// A number of the exponential distribution with mean 1.
     pub(crate) fn exponential(&mut self) -> f64 {
         -(1.0 - self.unit()).ln()
     }
--- /dev/null
+++ b/fleet/src/report/metrics.rs
@@ -0,0 +1,179 @@
+//! What is counted during a simulation. Times are in µs.
+
+use crate::attempts::OpenAttempts;
+use crate::tenants::QuotaCheck;
+use crate::time::Micros;
+use hdrhistogram::Histogram;
+
+/// Why a request was rejected. The policy gives no reason, so it is derived from the tenant's true quota and from the
+/// event that led to the rejection.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum RejectionReason {
+    /// The tenant truly had too few units left.
+    BeyondQuota,
+    /// An attempt had been forwarded.
+    AfterAttempt,
+    /// On arrival: too few units by the gateway's reading, shed, or the wait queue was full.
+    OnArrival,
+    /// On a reply of the counter.
+    OnCounterReply,
+    /// After a wait for the counter or for capacity.
+    WaitExpired,
+}
+
+const REJECTION_REASONS: usize = 5;
+/// The longest time that the histograms distinguish: ten minutes, as long as any deadline.
+const MAX_TIME: Micros = 600_000_000;
+const HISTOGRAM_DIGITS: u8 = 3;
+
+/// A client attempt that was served.
+pub(crate) struct ServedAttempt {
+    pub(crate) latency: Micros,
+    /// The latency without the attempt that was served, but with its new connection.
+    pub(crate) added: Micros,
+    pub(crate) late: bool,
+    pub(crate) quota_check: Option<QuotaCheck>,
+}
+
+/// An attempt that a gateway forwarded.
+pub(crate) struct ForwardedAttempt {
+    pub(crate) new_connection: bool,
+    pub(crate) crosses_zones: bool,
+    pub(crate) crosses_regions: bool,
+}
+
+/// Counts of client attempts (`offered` and how they ended) and of forwarded attempts. Those of the warm-up are left
+/// out unless the documentation says otherwise.
+pub(crate) struct Metrics {
+    /// With those of the warm-up.
+    pub(crate) offered_with_warm_up: u64,
+    pub(crate) offered: u64,
+    pub(crate) first_attempts: u64,
+    pub(crate) served: u64,
+    pub(crate) late: u64,
+    pub(crate) over_quota: u64,
+    rejected: [u64; REJECTION_REASONS],
+    /// Rejected while over half of the tenant's burst was left.
+    pub(crate) rejected_with_quota_left: u64,
+    pub(crate) timed_out: u64,
+    pub(crate) failed: u64,
+    pub(crate) client_disconnected: u64,
+    /// Not answered by the client's deadline.
+    pub(crate) unanswered: u64,
+    pub(crate) open_at_end: u64,
+    pub(crate) forwarded: u64,
+    forwarded_ended: u64,
+    pub(crate) handshakes: u64,
+    /// Forwarded to another zone, of the same region or another.
+    pub(crate) cross_zone: u64,
+    pub(crate) cross_region: u64,
+    /// Answers to requests that had one, with those of the warm-up.
+    pub(crate) duplicate_answers: u64,
+    /// Actions that a host cannot perform, with those of the warm-up.
+    pub(crate) invalid_actions: u64,
+    /// Forwarded to a draining endpoint after its grace, with those of the warm-up.
+    pub(crate) sent_after_drain: u64,
+    /// The largest difference in any audit.
+    pub(crate) unaccounted: u64,
+    pub(crate) added: Histogram<u64>,
+    pub(crate) latency: Histogram<u64>,
+}
+
+impl Metrics {
+    pub(crate) fn new() -> Self {
+        let histogram = || {
+            Histogram::new_with_bounds(1, MAX_TIME, HISTOGRAM_DIGITS).expect("bounds and digits are allowed")
+        };
+        Self {
+            offered_with_warm_up: 0,
+            offered: 0,
+            first_attempts: 0,
+            served: 0,
+            late: 0,
+            over_quota: 0,
+            rejected: [0; REJECTION_REASONS],
+            rejected_with_quota_left: 0,
+            timed_out: 0,
+            failed: 0,
+            client_disconnected: 0,
+            unanswered: 0,
+            open_at_end: 0,
+            forwarded: 0,
+            forwarded_ended: 0,
+            handshakes: 0,
+            cross_zone: 0,
+            cross_region: 0,
+            duplicate_answers: 0,
+            invalid_actions: 0,
+            sent_after_drain: 0,
+            unaccounted: 0,
+            added: histogram(),
+            latency: histogram(),
+        }
+    }
+
+    pub(crate) fn record_offered(&mut self, counted: bool, retries: u32) {
+        self.offered_with_warm_up += 1;
+        if counted {
+            self.offered += 1;
+            self.first_attempts += u64::from(retries == 0);
+        }
+    }
+
+    pub(crate) fn record_failed(&mut self, timed_out: bool) {
+        if timed_out {
+            self.timed_out += 1;
+        } else {
+            self.failed += 1;
+        }
+    }
+
+    pub(crate) fn record_client_disconnected(&mut self) {
+        self.client_disconnected += 1;
+    }
+
+    pub(crate) fn record_duplicate_answer(&mut self) {
+        self.duplicate_answers += 1;
+    }
+
+    pub(crate) fn record_served(&mut self, attempt: &ServedAttempt) {
+        self.served += 1;
+        self.late += u64::from(attempt.late);
+        self.over_quota += u64::from(attempt.quota_check == Some(QuotaCheck::Over));
+        self.latency.saturating_record(attempt.latency);
+        self.added.saturating_record(attempt.added);
+    }
+
+    pub(crate) fn record_rejected(&mut self, reason: RejectionReason, quota_left: bool) {
+        self.rejected[reason as usize] += 1;
+        self.rejected_with_quota_left += u64::from(quota_left);
+    }
+
+    pub(crate) fn record_forwarded(&mut self, attempt: &ForwardedAttempt) {
+        self.forwarded += 1;
+        self.handshakes += u64::from(attempt.new_connection);
+        self.cross_zone += u64::from(attempt.crosses_zones);
+        self.cross_region += u64::from(attempt.crosses_regions);
+    }
+
+    pub(crate) fn record_forwarded_ended(&mut self) {
+        self.forwarded_ended += 1;
+    }
+
+    pub(crate) fn rejected(&self, reason: RejectionReason) -> u64 {
+        self.rejected[reason as usize]
+    }
+
+    pub(crate) fn rejected_total(&self) -> u64 {
+        self.rejected.iter().sum()
+    }
+
+    /// Compares what was offered and forwarded with what has ended and what is open.
+    pub(crate) fn audit(&mut self, open: &OpenAttempts) {
+        let failed = self.failed + self.timed_out;
+        let ended = self.served + self.rejected_total() + failed + self.client_disconnected;
+        let client_attempts = self.offered.abs_diff(ended + open.total);
+        let forwarded = self.forwarded.abs_diff(self.forwarded_ended + open.in_flight);
+        self.unaccounted = self.unaccounted.max(client_attempts + forwarded);
+    }
+}
--- /dev/null
+++ b/fleet/src/simulation.rs
@@ -0,0 +1,428 @@
+//! The simulation: one loop over the events of the fleet in virtual time, and what each event leads to.
+
+use crate::attempts::{AttemptEnding, InFlightAttempt};
+use crate::clients::ClientRequest;
+use crate::counter::{Counter, CounterCall};
+use crate::discovery::{Discovery, ListEntry, endpoint_number};
+use crate::endpoints::{Acceptance, Endpoints, Job};
+use crate::event_queue::{EventQueue, SimEvent};
+use crate::experiment::Experiment;
+use crate::gateway_process::{GatewayProcess, ListError};
+use crate::lifecycle::Rollout;
+use crate::network::Network;
+use crate::random::{Random, Stream};
+use crate::report::{ForwardedAttempt, Metrics, RejectionReason, Report, ReportInput, worst_quota_usage};
+use crate::requests::{Completion, Requests};
+use crate::setup;
+use crate::time::{self, Micros};
+use ryefront_policy::{Action, EndpointState, Event, Name, Outcome, SettingsError};
+
+/// Clients start once all gateways have their first endpoint list.
+const CLIENTS_START_AT: Micros = 50_000;
+/// How long after the last deadline a simulation may go on.
+const MAX_DRAIN_TIME: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
+/// The zone of the counter.
+const COUNTER_ZONE: u32 = 0;
+
+/// An experiment that cannot be simulated.
+#[derive(Debug, thiserror::Error)]
+pub enum RunError {
+    /// The policy engine rejects the settings.
+    #[error("the policy engine rejects the experiment's settings: {0}")]
+    Settings(#[from] SettingsError),
+    /// The gateways' parser rejects a list.
+    #[error("the gateways' parser rejects the model's endpoint list: {0}")]
+    List(#[from] ListError),
+}
+
+struct Simulation<'a> {
+    experiment: &'a Experiment,
+    now: Micros,
+    events: EventQueue,
+    gateways: Vec<GatewayProcess>,
+    endpoints: Endpoints,
+    rollout: Option<Rollout>,
+    counter: Counter,
+    discovery: Discovery,
+    network: Network,
+    requests: Requests<'a>,
+    /// The reason of a rejection that the event being handled leads to.
+    rejection_reason: RejectionReason,
+    service_random: Random,
+    metrics: Metrics,
+}
+
+/// Simulates an experiment with a seed.
+///
+/// # Errors
+/// When the gateways' code rejects the settings or the endpoint lists of the model.
+pub fn run(experiment: &Experiment, seed: u64) -> Result<Report, RunError> {
+    let mut simulation = Simulation::new(experiment, seed)?;
+    simulation.run()?;
+    Ok(simulation.report(seed))
+}
+
+impl<'a> Simulation<'a> {
+    fn new(experiment: &'a Experiment, seed: u64) -> Result<Self, RunError> {
+        let gateway_count = experiment.scale.gateways.unwrap_or(experiment.fleet.gateways);
+        let fraction = f64::from(gateway_count) / f64::from(experiment.fleet.gateways);
+        let mut random = Random::new(seed, Stream::Fleet);
+        let endpoints = setup::endpoints(experiment, fraction, gateway_count, &mut random);
+        let gateways = setup::gateways(experiment, gateway_count, &mut random)?;
+        let mut simulation = Self {
+            experiment,
+            now: 0,
+            events: EventQueue::default(),
+            gateways,
+            endpoints,
+            rollout: None,
+            counter: Counter::new(&experiment.counter, fraction),
+            discovery: Discovery::default(),
+            network: Network::new(experiment, Random::new(seed, Stream::Network)),
+            requests: Requests::new(experiment, fraction, gateway_count, seed),
+            rejection_reason: RejectionReason::OnArrival,
+            service_random: Random::new(seed, Stream::Service),
+            metrics: Metrics::new(),
+        };
+        simulation.schedule_start(&mut random)?;
+        Ok(simulation)
+    }
+
+    /// Schedules the first endpoint lists, the rollout and the first request.
+    fn schedule_start(&mut self, random: &mut Random) -> Result<(), RunError> {
+        let endpoint_count = self.endpoints.count() as u32;
+        let entries: Vec<ListEntry> = (0..endpoint_count).map(|n| self.endpoints.list_entry(n)).collect();
+        let list = self.discovery.publish_snapshot(&entries)?;
+        for gateway in 0..self.gateways.len() as u32 {
+            let at = setup::gateway_start(random);
+            self.events.schedule(at, SimEvent::ListReceived { gateway, list });
+        }
+        self.schedule_publication();
+        self.rollout = self
+            .experiment
+            .rollout
+            .as_ref()
+            .map(|settings| Rollout::schedule(settings, endpoint_count, random, &mut self.events));
+        self.requests.schedule_next(CLIENTS_START_AT, &mut self.events);
+        Ok(())
+    }
+
+    fn run(&mut self) -> Result<(), RunError> {
+        let end = time::from_s(self.experiment.duration_s);
+        let deadlines = self.experiment.classes.iter().map(|class| class.deadline_ms);
+        let latest_end = end + time::from_ms(deadlines.fold(0.0, f64::max)) + MAX_DRAIN_TIME;
+        let mut second = 0;
+        while let Some((at, event)) = self.events.pop() {
+            if at > latest_end || at > end && self.requests.attempts.count() == 0 {
+                break;
+            }
+            self.now = at;
+            if at / SECOND > second {
+                second = at / SECOND;
+                self.metrics.audit(&self.requests.attempts.counted());
+                let (attempts, open) = (self.requests.attempts.last_id(), self.requests.attempts.count());
+                tracing::info!(second, attempts, open, "simulated");
+            }
+            match event {
+                SimEvent::ClientRequest(_) | SimEvent::ClientRetry(_) if at > end => {}
+                event => self.handle(event)?,
+            }
+        }
+        let open = self.requests.attempts.counted();
+        self.metrics.audit(&open);
+        self.metrics.open_at_end = open.total;
+        Ok(())
+    }
+
+    fn handle(&mut self, event: SimEvent) -> Result<(), RunError> {
+        match event {
+            SimEvent::ClientRequest(request) => {
+                self.requests.schedule_next(self.now, &mut self.events);
+                let counted = self.now as f64 >= self.experiment.warm_up_s * 1e6;
+                self.request_arrived(ClientRequest { counted, ..*request });
+            }
+            SimEvent::ClientRetry(request) => self.request_arrived(*request),
+            SimEvent::GatewayTimer { gateway, token } => {
+                self.notify(gateway, Event::Timer { token }, RejectionReason::WaitExpired);
+            }
+            SimEvent::AttemptArrived { endpoint, job } => self.attempt_arrived(endpoint, job),
+            SimEvent::JobFinished { endpoint, job } => self.job_finished(endpoint, job),
+            SimEvent::AttemptEnded { id, attempt, outcome, queue_length } => {
+                if self.requests.attempts.is_in_flight(id, attempt) {
+                    self.attempt_ended(id, outcome, Some(queue_length));
+                }
+            }
+            SimEvent::ClientDeadline { id } => self.deadline_passed(id),
+            SimEvent::ClientDisconnected { id } => self.client_disconnected(id),
+            SimEvent::CounterCalled(call) => self.counter_called(&call),
+            SimEvent::CounterReplied { gateway, key, result, sent_at } => {
+                let latency = time::to_ms(self.now - sent_at);
+                let reply = Event::CounterReply { key, result, latency };
+                self.notify(gateway, reply, RejectionReason::OnCounterReply);
+            }
+            SimEvent::ChangesPublished => self.publish_changes()?,
+            SimEvent::ListReceived { gateway, list } => {
+                let published = self.discovery.list(list);
+                let event = self.gateways[gateway as usize].receive_list(published, list, self.now);
+                self.notify(gateway, event, RejectionReason::WaitExpired);
+            }
+            SimEvent::EndpointDrains { .. }
+            | SimEvent::EndpointStops { .. }
+            | SimEvent::EndpointStarts { .. } => self.endpoint_replaced(&event),
+        }
+        Ok(())
+    }
+
+    // ---- Gateways ----
+
+    /// Passes an event to a gateway and performs the actions it leads to.
+    fn notify(&mut self, gateway: u32, event: Event, rejection_reason: RejectionReason) {
+        self.rejection_reason = rejection_reason;
+        for action in self.gateways[gateway as usize].handle(self.now, event) {
+            self.perform(gateway, action);
+        }
+    }
+
+    fn perform(&mut self, gateway: u32, action: Action) {
+        match action {
+            Action::ForwardAttempt { id, endpoint, .. } => self.forward(gateway, id, endpoint),
+            Action::Reject { id, retry_after } => {
+                let reason = self.rejection_reason;
+                self.complete(id, Completion::Rejected { retry_after, reason });
+            }
+            Action::Fail { id } => self.complete(id, Completion::Failed),
+            Action::SetTimer { after, token } => {
+                let at = self.now + time::from_ms_ceil(after);
+                self.events.schedule(at, SimEvent::GatewayTimer { gateway, token });
+            }
+            Action::IncrementCounter { key, amount, ttl } => {
+                let zone = self.gateways[gateway as usize].zone();
+                let delay = self.network.network_delay(zone, COUNTER_ZONE);
+                let call = CounterCall { gateway, key, amount, ttl, sent_at: self.now };
+                self.events.schedule(self.now + delay, SimEvent::CounterCalled(call));
+            }
+            Action::Log(text) => tracing::debug!(gateway, "{text}"),
+            // The model cancels attempts itself when a client disconnects, and its settings allow none of the others.
+            Action::CancelAttempt { .. }
+            | Action::HealthCheck { .. }
+            | Action::Gossip { .. }
+            | Action::WatchEndpoints => self.metrics.invalid_actions += 1,
+        }
+    }
+
+    fn forward(&mut self, gateway: u32, id: u64, endpoint_name: Name) {
+        let number = endpoint_number(&endpoint_name).filter(|number| *number < self.endpoints.count());
+        let idle = self.requests.attempts.get(id).is_some_and(|attempt| attempt.in_flight.is_none());
+        let (Some(number), true) = (number, idle) else {
+            // A real gateway reports such an attempt as not sent; here it is a fault of the policy.
+            self.metrics.invalid_actions += 1;
+            return;
+        };
+        let endpoint = number as u32;
+        self.endpoints.record_attempt(endpoint, gateway, self.now);
+        self.metrics.sent_after_drain += u64::from(self.is_past_drain_grace(gateway, endpoint));
+        let idle_timeout = time::from_s(self.experiment.endpoints.idle_timeout_s);
+        let process = &mut self.gateways[gateway as usize];
+        let new_connection = !process.connections.acquire(endpoint, self.now, idle_timeout);
+        let (from, to) = (process.zone(), self.endpoints.get(endpoint).zone());
+        let delay = self.network.network_delay(from, to);
+        let settings = &self.experiment.endpoints;
+        let round_trips = u64::from(settings.handshake_round_trips);
+        let handshake = if new_connection { delay * 2 * round_trips } else { 0 };
+        let handshake_work = if new_connection { settings.handshake_work_ms * 1000.0 } else { 0.0 };
+        let Some(attempt) = self.requests.attempts.get_mut(id) else { return };
+        let number = attempt.forwarded;
+        attempt.forwarded += 1;
+        let sent_at = self.now;
+        attempt.in_flight = Some(InFlightAttempt { number, endpoint, endpoint_name, sent_at, handshake });
+        if attempt.request.counted {
+            let crosses_regions = !self.network.same_region(from, to);
+            let forwarded = ForwardedAttempt { new_connection, crosses_zones: from != to, crosses_regions };
+            self.metrics.record_forwarded(&forwarded);
+        }
+        let job = Job { id, attempt: number, gateway, work: attempt.request.work + handshake_work };
+        self.events.schedule(self.now + handshake + delay, SimEvent::AttemptArrived { endpoint, job });
+    }
+
+    /// Whether a gateway has known for longer than the drain grace that an endpoint drains.
+    fn is_past_drain_grace(&self, gateway: u32, endpoint: u32) -> bool {
+        let Some(rollout) = &self.rollout else { return false };
+        let drained = self.endpoints.get(endpoint).state() != EndpointState::Ready;
+        let list = rollout.drain_published_in(endpoint).filter(|_| drained);
+        let notified_at = list.and_then(|list| self.gateways[gateway as usize].received_list_at(list));
+        notified_at.is_some_and(|at| at + rollout.drain_grace() < self.now)
+    }
+
+    // ---- Requests ----
+
+    fn request_arrived(&mut self, request: ClientRequest) {
+        let gateway = request.gateway;
+        let arrival = self.requests.open(request, self.now, &mut self.events, &mut self.metrics);
+        self.notify(gateway, Event::RequestArrived(arrival), RejectionReason::OnArrival);
+    }
+
+    fn complete(&mut self, id: u64, completion: Completion) {
+        self.requests.complete(id, completion, self.now, &mut self.events, &mut self.metrics);
+    }
+
+    /// Ends the attempt in flight of a request, as its gateway learns it.
+    fn attempt_ended(&mut self, id: u64, outcome: Outcome, queue_length: Option<f64>) {
+        let Some(attempt) = self.requests.attempts.get_mut(id) else { return };
+        let Some(in_flight) = attempt.in_flight.take() else { return };
+        let gateway = attempt.request.gateway;
+        let attempt_latency = self.now - in_flight.sent_at;
+        let added = self.now - attempt.arrived_at - attempt_latency + in_flight.handshake;
+        if attempt.request.counted {
+            self.metrics.record_forwarded_ended();
+        }
+        let connections = &mut self.gateways[gateway as usize].connections;
+        match outcome {
+            Outcome::Served | Outcome::Error | Outcome::Rejected => {
+                connections.release(in_flight.endpoint, self.now);
+            }
+            Outcome::ConnectFailed => connections.close_all(in_flight.endpoint),
+            _ => {}
+        }
+        if outcome == Outcome::Served {
+            self.complete(id, Completion::Served { added });
+        }
+        let request_finished = !self.requests.attempts.is_open(id);
+        let ending = AttemptEnding { id, outcome, request_finished, queue_length };
+        self.notify(gateway, in_flight.end(ending, self.now), RejectionReason::WaitExpired);
+    }
+
+    fn deadline_passed(&mut self, id: u64) {
+        if self.requests.attempts.get(id).is_some_and(|attempt| attempt.in_flight.is_some()) {
+            self.attempt_ended(id, Outcome::TimedOut, None);
+        }
+        // The gateway must have answered by now; if it has not, the client disconnects.
+        self.metrics.unanswered +=
+            u64::from(self.requests.attempts.get(id).is_some_and(|a| a.request.counted));
+        self.client_disconnected(id);
+    }
+
+    fn client_disconnected(&mut self, id: u64) {
+        let Some(attempt) = self.requests.attempts.get_mut(id) else { return };
+        let gateway = attempt.request.gateway;
+        let in_flight = attempt.in_flight.take();
+        if attempt.request.counted && in_flight.is_some() {
+            self.metrics.record_forwarded_ended();
+        }
+        self.complete(id, Completion::ClientDisconnected);
+        self.notify(gateway, Event::ClientDisconnected { id }, RejectionReason::WaitExpired);
+        let Some(in_flight) = in_flight else { return };
+        // The attempt in flight is cancelled with its request, and the gateway is notified of its end.
+        let outcome = Outcome::Cancelled;
+        let ending = AttemptEnding { id, outcome, request_finished: true, queue_length: None };
+        self.notify(gateway, in_flight.end(ending, self.now), RejectionReason::WaitExpired);
+    }
+
+    // ---- Endpoints ----
+
+    fn attempt_arrived(&mut self, endpoint: u32, job: Job) {
+        if !self.requests.attempts.awaits(&job) {
+            return;
+        }
+        if self.endpoints.get(endpoint).state() == EndpointState::Removed {
+            return self.respond(endpoint, job, Outcome::ConnectFailed);
+        }
+        if let Some(attempt) =
+            self.requests.attempts.get_mut(job.id).filter(|attempt| attempt.quota_check.is_none())
+        {
+            let request = &attempt.request;
+            attempt.quota_check = Some(self.requests.tenants.charge(request.tenant, request.units, self.now));
+        }
+        match self.endpoints.accept(endpoint, job, self.now) {
+            Acceptance::Started(service_time) => {
+                self.events.schedule(self.now + service_time, SimEvent::JobFinished { endpoint, job });
+            }
+            Acceptance::Queued => {}
+            Acceptance::Rejected => self.respond(endpoint, job, Outcome::Rejected),
+        }
+    }
+
+    fn job_finished(&mut self, endpoint: u32, job: Job) {
+        let error = self.service_random.unit() < self.experiment.endpoints.error_rate;
+        self.respond(endpoint, job, if error { Outcome::Error } else { Outcome::Served });
+        let attempts = &self.requests.attempts;
+        let next = self.endpoints.start_next(endpoint, self.now, |job| attempts.awaits(job));
+        if let Some((job, service_time)) = next {
+            self.events.schedule(self.now + service_time, SimEvent::JobFinished { endpoint, job });
+        }
+    }
+
+    fn respond(&mut self, endpoint: u32, job: Job, outcome: Outcome) {
+        let endpoint = self.endpoints.get(endpoint);
+        let queue_length = endpoint.queue_length() as f64;
+        let delay = self.network.network_delay(endpoint.zone(), self.gateways[job.gateway as usize].zone());
+        let (id, attempt) = (job.id, job.attempt);
+        let event = SimEvent::AttemptEnded { id, attempt, outcome, queue_length };
+        self.events.schedule(self.now + delay, event);
+    }
+
+    fn endpoint_replaced(&mut self, event: &SimEvent) {
+        let Some(rollout) = &mut self.rollout else { return };
+        let (endpoints, discovery, events) = (&mut self.endpoints, &mut self.discovery, &mut self.events);
+        match *event {
+            SimEvent::EndpointDrains { endpoint } => {
+                rollout.drain(endpoint, self.now, endpoints, discovery, events);
+            }
+            SimEvent::EndpointStops { endpoint } => {
+                rollout.stop(endpoint, self.now, endpoints, discovery, events);
+            }
+            SimEvent::EndpointStarts { replaced } => {
+                let speed = self.service_random.within(self.experiment.endpoints.speed);
+                let successor = endpoints.add_successor(replaced, speed, self.now);
+                discovery.record(endpoints.list_entry(successor));
+            }
+            _ => {}
+        }
+    }
+
+    // ---- Counter and discovery ----
+
+    fn counter_called(&mut self, call: &CounterCall) {
+        let reply = self.counter.serve(call, self.now, &mut self.service_random);
+        let zone = self.gateways[call.gateway as usize].zone();
+        let delay = self.network.network_delay(COUNTER_ZONE, zone);
+        let reply = self.counter.reply_at_gateway(call, &reply, delay, self.now);
+        let CounterCall { gateway, key, sent_at, .. } = *call;
+        let event = SimEvent::CounterReplied { gateway, key, result: reply.result, sent_at };
+        self.events.schedule(reply.at, event);
+    }
+
+    fn schedule_publication(&mut self) {
+        let period = time::from_ms(self.experiment.discovery.publish_period_ms);
+        self.events.schedule(self.now + period, SimEvent::ChangesPublished);
+    }
+
+    fn publish_changes(&mut self) -> Result<(), RunError> {
+        self.schedule_publication();
+        let Some(list) = self.discovery.publish_changes()? else { return Ok(()) };
+        if let Some(rollout) = &mut self.rollout {
+            rollout.drains_published(list);
+        }
+        for gateway in 0..self.gateways.len() as u32 {
+            let delay = self.network.notification_delay(&self.experiment.discovery);
+            self.events.schedule(self.now + delay, SimEvent::ListReceived { gateway, list });
+        }
+        Ok(())
+    }
+
+    fn report(self, seed: u64) -> Report {
+        let counter = self.counter.statistics();
+        Report::new(&ReportInput {
+            experiment: self.experiment,
+            seed,
+            quota_demand: self.requests.quota_demand(),
+            worst_quota_usage: worst_quota_usage(self.experiment, &self.requests.tenants, counter),
+            tenant_count: self.requests.tenants.iter().len(),
+            gateways: &self.gateways,
+            endpoints: &self.endpoints,
+            counter,
+            list_count: self.discovery.list_count(),
+            metrics: self.metrics,
+        })
+    }
+}
--- /dev/null
+++ b/fleet/src/slopes/list_watch.rs
@@ -0,0 +1,71 @@
+//! A complete endpoint list over a loopback socket, through the gateway's real watch.
+
+use super::SlopesError;
+use super::subject::{IDLE_TIMEOUT, gateway_count, settings, snapshot};
+use crate::gateway_process::Registry;
+use ryefront_gateway::discovery::backoff::Pace;
+use ryefront_gateway::discovery::watch;
+use ryefront_gateway::engine::Engine;
+use ryefront_policy::Settings;
+use std::io;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+
+/// A list that is not applied by then counts as not read.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
+/// A list that was sent so often without being applied counts as not read.
+const MAX_RESPONSES: u32 = 3;
+const SEED: u64 = 7;
+
+/// Whether a gateway reads and applies a list of so many endpoints.
+pub(super) fn is_list_read(endpoints: usize) -> Result<bool, SlopesError> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let list = snapshot(endpoints);
+    let local = tokio::task::LocalSet::new();
+    local.block_on(&runtime, async {
+        let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
+        let (_sender, address) = tokio::sync::watch::channel(listener.local_addr()?);
+        let registry = Registry::new(IDLE_TIMEOUT).shared();
+        let settings = Settings { has_counter: false, ..settings(gateway_count(endpoints), 1) };
+        let engine = Engine::start(settings, SEED, registry.clone(), None)?;
+        let pace = Pace::of(false, Duration::ZERO);
+        tokio::task::spawn_local(watch(address, 0, SEED, pace, registry, engine));
+        Ok(tokio::time::timeout(READ_TIMEOUT, serve_list(&listener, &list)).await.unwrap_or(Ok(false))?)
+    })
+}
+
+/// Responds with a list until a request says that it was applied.
+async fn serve_list(listener: &TcpListener, list: &str) -> io::Result<bool> {
+    let mut responses = 0;
+    loop {
+        let (mut stream, _) = listener.accept().await?;
+        while let Some(head) = read_request_head(&mut stream).await? {
+            if head.contains("after=1&") {
+                return Ok(true);
+            }
+            if responses == MAX_RESPONSES {
+                return Ok(false);
+            }
+            responses += 1;
+            let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+            // A gateway that rejects the length closes the connection while it is written to.
+            if stream.write_all(response.as_bytes()).await.is_err() {
+                break;
+            }
+        }
+    }
+}
+
+/// Reads the head of the next request; `None` if the connection ended.
+async fn read_request_head(stream: &mut TcpStream) -> io::Result<Option<String>> {
+    let mut head = Vec::new();
+    let mut bytes = [0; 1024];
+    while !head.ends_with(b"\r\n\r\n") {
+        match stream.read(&mut bytes).await {
+            Ok(read) if read > 0 => head.extend_from_slice(&bytes[..read]),
+            _ => return Ok(None),
+        }
+    }
+    Ok(Some(String::from_utf8_lossy(&head).into_owned()))
+}
--- /dev/null
+++ b/fleet/src/slopes/memory.rs
@@ -0,0 +1,37 @@
+//! The growth of this process's resident memory.
+
+use super::SlopesError;
+use super::subject::{Subject, gateway_count, snapshot};
+use std::io;
+
+/// What takes the memory.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MemoryLoad {
+    /// Tenants whose requests a gateway has had.
+    Tenants,
+    /// Endpoints that a gateway knows, with no connection to any.
+    Endpoints,
+}
+
+/// By how many bytes this process grows as a gateway in it takes a load. To be called in a process of its own.
+///
+/// # Errors
+/// When the memory cannot be read or the gateway's code rejects what it is given.
+pub fn measure_memory(load: MemoryLoad, size: usize) -> Result<u64, SlopesError> {
+    let list = snapshot(if load == MemoryLoad::Endpoints { size } else { 1 });
+    let mut subject = Subject::new(gateway_count(size), 1)?;
+    let before = resident_bytes()?;
+    subject.apply(&list)?;
+    if load == MemoryLoad::Tenants {
+        subject.add_tenants(size)?;
+    }
+    Ok(resident_bytes()?.saturating_sub(before))
+}
+
+fn resident_bytes() -> io::Result<u64> {
+    /// The usual size on Linux.
+    const PAGE_BYTES: u64 = 4096;
+    let statm = std::fs::read_to_string("/proc/self/statm")?;
+    let pages = statm.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok());
+    pages.map(|pages| pages * PAGE_BYTES).ok_or_else(|| io::ErrorKind::InvalidData.into())
+}
--- /dev/null
+++ b/fleet/tests/simulation.rs
@@ -0,0 +1,106 @@
+//! Complete simulations: reproducible results, invariants, scaling, and the exit status.
+
+use ryefront_fleet::experiment::Interval;
+use ryefront_fleet::{Experiment, Report, run};
+use std::path::{Path, PathBuf};
+use std::process::Command;
+
+fn shipped(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments").join(name)
+}
+
+/// The shipped rollout with 20 gateways and a few seconds.
+fn small() -> Experiment {
+    let mut experiment = Experiment::read(&shipped("release-300.toml")).expect("a shipped file");
+    experiment.scale.gateways = Some(20);
+    experiment.duration_s = 14.0;
+    experiment.warm_up_s = 2.0;
+    let rollout = experiment.rollout.as_mut().expect("a rollout");
+    rollout.start_s = 3.0;
+    rollout.duration_s = 2.0;
+    // With a counter that answers all calls, no gateway uses its fallback allowance, and heavy tenants come close to
+    // their quota.
+    experiment.counter.calls_per_s = 1e6;
+    experiment.load.heavy_usage_factor = Interval { low: 5.0, high: 10.0 };
+    experiment
+}
+
+fn simulate(seed: u64) -> Report {
+    run(&small(), seed).expect("a run")
+}
+
+#[test]
+fn same_seed_gives_same_bytes_and_another_seed_another_result() {
+    let (one, same, other) = (simulate(5), simulate(5), simulate(6));
+    assert_eq!(one.json(), same.json());
+    assert_eq!(one.markdown(), same.markdown());
+    assert_ne!((one.offered, one.served), (other.offered, other.served));
+}
+
+#[test]
+fn invariants_hold_while_endpoints_are_replaced() {
+    let report = simulate(7);
+    assert_eq!(report.violations().map(|violation| violation.name).collect::<Vec<_>>(), Vec::<&str>::new());
+    assert_eq!((report.counter.timed_out, report.counter.rejected), (0, 0));
+    assert!(report.rejected.total > 100, "{}", report.markdown());
+    let (rejected, failed) = (&report.rejected, &report.failed);
+    let ended = report.served + rejected.total + failed.timed_out + failed.other + report.client_disconnected;
+    assert_eq!(report.offered, ended);
+    let by_reason = [
+        rejected.beyond_quota,
+        rejected.after_attempt,
+        rejected.on_arrival,
+        rejected.on_counter_reply,
+        rejected.wait_expired,
+    ];
+    assert_eq!(rejected.total, by_reason.iter().sum::<u64>());
+    assert!(report.served > 500 && report.first_attempts < report.offered, "{}", report.markdown());
+    // The rollout took place: 0.3 of 13 endpoints were replaced, and the gateways were notified.
+    assert_eq!(report.slow_start.starts, 4);
+    assert!(
+        report.slow_start.attempts > 0 && report.endpoint_lists.delta_bytes_per_gateway > 0.0,
+        "{}",
+        report.markdown()
+    );
+    assert_eq!(report.scale.endpoints, 13);
+}
+
+#[test]
+fn scaled_fleet_keeps_its_proportions() {
+    for name in ["calm-300.toml", "release-300.toml", "calm-3100.toml", "release-3100.toml"] {
+        let mut experiment = Experiment::read(&shipped(name)).expect("a shipped file");
+        experiment.scale.gateways = Some(experiment.fleet.gateways / 100);
+        experiment.duration_s = 0.5;
+        experiment.warm_up_s = 0.0;
+        experiment.rollout = None;
+        experiment.load.tenants = 100_000;
+
+        let scale = run(&experiment, 1).expect("a run").scale;
+
+        let fraction = f64::from(scale.gateways) / f64::from(scale.gateways_in_file);
+        assert!((scale.fraction - fraction).abs() < 1e-9);
+        assert_eq!(scale.endpoints, u64::from(experiment.fleet.endpoints / 100), "{name}");
+        assert_eq!(scale.tenants, 1000, "{name}");
+    }
+}
+
+#[test]
+fn violated_invariant_is_named_and_gives_status_1() {
+    // With this overload factor, whatever is sent to an endpoint in slow start exceeds its budget.
+    let text = std::fs::read_to_string(shipped("release-300.toml")).expect("a shipped file");
+    let text = [("seconds = 40", "seconds = 14"), ("at_s = 12", "at_s = 3"), ("fall_s = 1 ", "fall_s = 10 ")]
+        .iter()
+        .fold(text, |text, (old, new)| text.replace(old, new))
+        .replace("over_s = 10", "over_s = 2")
+        .replace("fall_multiple = 2.5", "fall_multiple = 0.001");
+    let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join("violated.toml");
+    std::fs::write(&file, text).expect("a file");
+    let output = Command::new(env!("CARGO_BIN_EXE_ryefront-fleet"))
+        .args(["run", "--gateways", "20", "--seed", "5"])
+        .arg(&file)
+        .output()
+        .expect("the program runs");
+    let errors = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(1), "{errors}");
+    assert!(errors.contains("violated: no endpoint in slow start is sent more than its budget"), "{errors}");
+}
