--- a/fleet/src/attempts.rs
+++ b/fleet/src/attempts.rs
@@ -63,6 +63,16 @@
     pub(crate) fn new(request: ClientRequest, arrived_at: Micros, deadline: Micros) -> Self {
         Self { request, arrived_at, deadline, forwarded: 0, in_flight: None, quota_check: None }
     }
+
+    /// Puts a new attempt in flight and returns its number.
+    pub(crate) fn forward(
+        &mut self, endpoint: u32, endpoint_name: Name, handshake: Micros, now: Micros,
+    ) -> u32 {
+        let number = self.forwarded;
+        self.forwarded += 1;
+        self.in_flight = Some(InFlightAttempt { number, endpoint, endpoint_name, sent_at: now, handshake });
+        number
+    }
 }
 
 /// All client attempts without a final answer, by the id that their gateway knows them by.
--- a/fleet/src/clients.rs
+++ b/fleet/src/clients.rs
@@ -71,7 +71,8 @@
         ScheduledRequest { at, request }
     }
 
-    /// Draws the time of the next arrival: a Poisson process whose rate is a sine, by thinning one of its peak rate.
+    /// Draws the time of the next arrival: a Poisson process whose rate is a sine, by thinning one of its
+    /// peak rate.
     fn next_arrival(&mut self, now: Micros, load: &Load) -> Micros {
         let peak = self.requests_per_s * (1.0 + load.rate_amplitude);
         let mut at = now as f64;
--- a/fleet/src/discovery.rs
+++ b/fleet/src/discovery.rs
@@ -1,6 +1,7 @@
-//! Discovery: the endpoint lists it publishes, as text in the form that gateways read, and the changes it collects.
+//! Discovery: the endpoint lists it publishes, as text in the form that gateways read, and the changes it
+//! collects.
 
-use crate::gateway_process::{EndpointList, ListError};
+use crate::endpoint_list::{EndpointList, ListError};
 use ryefront_policy::{EndpointState, Millis};
 use std::fmt::Write;
 
--- /dev/null
+++ b/fleet/src/endpoint_list.rs
@@ -0,0 +1,66 @@
+//! The gateway's own endpoint list code: its parser and its registry. Nothing else of the gateway is used,
+//! but for the watch in `slopes`.
+
+use ryefront_gateway::discovery::List;
+pub(crate) use ryefront_gateway::discovery::ListError;
+use ryefront_gateway::endpoint::EndpointRegistry;
+use ryefront_policy::{EndpointEntry, Event, LoadReportSource};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// File descriptors of a gateway process.
+const FILE_DESCRIPTORS: usize = 1024;
+pub(crate) const CONNECT_TIMEOUT_MS: f64 = 250.0;
+
+/// An endpoint list as the gateway's code reads it.
+pub(crate) struct EndpointList(List);
+
+impl EndpointList {
+    /// # Errors
+    /// When the gateway's parser rejects the list.
+    pub(crate) fn parse(text: &[u8]) -> Result<Self, ListError> {
+        List::parse(text).map(Self)
+    }
+
+    pub(crate) fn is_snapshot(&self) -> bool {
+        self.0.whole
+    }
+
+    /// The list as an event for the policy engine.
+    pub(crate) fn event(&self) -> Event {
+        self.event_with(self.0.hosts.iter().map(|host| host.entry.clone()).collect())
+    }
+
+    /// The same without a copy of the entries.
+    pub(crate) fn into_event(mut self) -> Event {
+        let entries = std::mem::take(&mut self.0.hosts).into_iter().map(|host| host.entry).collect();
+        self.event_with(entries)
+    }
+
+    fn event_with(&self, entries: Vec<EndpointEntry>) -> Event {
+        if self.is_snapshot() { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) }
+    }
+}
+
+/// A real endpoint registry, which has no connections.
+#[derive(Clone)]
+pub(crate) struct Registry(Rc<EndpointRegistry>);
+
+impl Registry {
+    pub(crate) fn new(idle_timeout: Duration) -> Self {
+        Self(EndpointRegistry::new(
+            Duration::from_secs_f64(CONNECT_TIMEOUT_MS / 1000.0),
+            idle_timeout,
+            LoadReportSource::Responses,
+            FILE_DESCRIPTORS,
+        ))
+    }
+
+    pub(crate) fn apply(&self, list: &EndpointList) {
+        self.0.update(&list.0);
+    }
+
+    pub(crate) fn shared(&self) -> Rc<EndpointRegistry> {
+        self.0.clone()
+    }
+}
--- a/fleet/src/endpoints.rs
+++ b/fleet/src/endpoints.rs
@@ -199,9 +199,9 @@
         }
     }
 
-    /// Compares the attempts of all gateways within the overload window with what the endpoint bears: the budget is
-    /// N + 2 sqrt(N) + 2, where N is the overload factor times the present capacity over the window, as chance alone
-    /// exceeds N.
+    /// Compares the attempts of all gateways within the overload window with what the endpoint bears: the
+    /// budget is N + 2 sqrt(N) + 2, where N is the overload factor times the present capacity over the
+    /// window, as chance alone exceeds N.
     fn record_slow_start_attempt(&mut self, number: u32, progress: f64, now: Micros) {
         let settings = &self.settings;
         let endpoint = &mut self.all[number as usize];
@@ -237,7 +237,8 @@
         Acceptance::Queued
     }
 
-    /// Uses the core of a finished job for the next job whose gateway still waits: that job and its service time.
+    /// Uses the core of a finished job for the next job whose gateway still waits: that job and its service
+    /// time.
     pub(crate) fn start_next(
         &mut self, number: u32, now: Micros, still_wanted: impl Fn(&Job) -> bool,
     ) -> Option<(Job, Micros)> {
--- a/fleet/src/event_queue.rs
+++ b/fleet/src/event_queue.rs
@@ -1,4 +1,5 @@
-//! The events of a simulation in the order of their time; events of the same time in the order of their scheduling.
+//! The events of a simulation in the order of their time; events of the same time in the order of their
+//! scheduling.
 
 use crate::clients::ClientRequest;
 use crate::counter::CounterCall;
@@ -34,12 +35,19 @@
     ChangesPublished,
     /// An endpoint list reaches a gateway.
     ListReceived { gateway: u32, list: usize },
-    /// An endpoint starts to drain.
-    EndpointDrains { endpoint: u32 },
-    /// A draining endpoint stops.
-    EndpointStops { endpoint: u32 },
-    /// The successor of a stopped endpoint starts.
-    EndpointStarts { replaced: u32 },
+    /// An endpoint is replaced, step by step.
+    Replacement(Replacement),
+}
+
+/// A step in the replacement of an endpoint.
+#[derive(Clone, Copy)]
+pub(crate) enum Replacement {
+    /// It starts to drain.
+    Drain { endpoint: u32 },
+    /// Its drain grace is over, and it stops.
+    Stop { endpoint: u32 },
+    /// Its successor starts.
+    StartSuccessor { replaced: u32 },
 }
 
 /// An event with its time.
--- a/fleet/src/experiment/file.rs
+++ b/fleet/src/experiment/file.rs
@@ -81,7 +81,8 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scale {
-    /// Gateways that are simulated, with endpoints, tenants, requests and counter in proportion. Optional: all.
+    /// Gateways that are simulated, with endpoints, tenants, requests and counter in proportion. Optional:
+    /// all.
     pub gateways: Option<u32>,
     /// Gateways that have a real endpoint registry beside their policy engine. Optional: all.
     #[serde(rename = "tables")]
--- a/fleet/src/experiment/validate.rs
+++ b/fleet/src/experiment/validate.rs
@@ -1,4 +1,5 @@
-//! The ranges of an experiment's figures. Each table checks its own; the first figure out of range is reported.
+//! The ranges of an experiment's figures. Each table checks its own; the first figure out of range is
+//! reported.
 
 use super::{
     Class, Counter, Discovery, Endpoints, Experiment, Fleet, Interval, Load, Network, Plan, Problem, Range,
--- a/fleet/src/gateway_process.rs
+++ b/fleet/src/gateway_process.rs
@@ -1,20 +1,13 @@
-//! One gateway process without its sockets: the real policy engine, the real endpoint registry, and a modelled pool
-//! of connections. All uses of the gateway's list code and registry pass through this module.
+//! One gateway process without its sockets: the real policy engine, the real endpoint registry, and a
+//! modelled pool of connections.
 
+use crate::connection::ConnectionPool;
 use crate::discovery::{PublishedList, zone_name};
+use crate::endpoint_list::{CONNECT_TIMEOUT_MS, Registry};
 use crate::experiment::{Experiment, Plan};
 use crate::time::{self, Micros};
-use ryefront_gateway::discovery::List;
-pub(crate) use ryefront_gateway::discovery::ListError;
-use ryefront_gateway::endpoint::EndpointRegistry;
 use ryefront_policy::{Action, Event, LoadReportSource, PolicyEngine, QuotaPlan, Settings, SettingsError};
-use std::collections::HashMap;
-use std::rc::Rc;
-use std::time::Duration;
 
-/// File descriptors of a gateway process.
-const FILE_DESCRIPTORS: usize = 1024;
-const CONNECT_TIMEOUT_MS: f64 = 250.0;
 const MAX_ATTEMPTS: u32 = 6;
 const CROSS_ZONE_COST: f64 = 0.01;
 
@@ -64,84 +57,6 @@
     }
 }
 
-/// An endpoint list as the gateway's code reads it.
-pub(crate) struct EndpointList(List);
-
-impl EndpointList {
-    /// # Errors
-    /// When the gateway's parser rejects the list.
-    pub(crate) fn parse(text: &[u8]) -> Result<Self, ListError> {
-        List::parse(text).map(Self)
-    }
-
-    pub(crate) fn is_snapshot(&self) -> bool {
-        self.0.whole
-    }
-
-    /// The list as an event for the policy engine.
-    pub(crate) fn event(&self) -> Event {
-        self.event_with(self.0.hosts.iter().map(|host| host.entry.clone()).collect())
-    }
-
-    /// The same without a copy of the entries.
-    pub(crate) fn into_event(mut self) -> Event {
-        let entries = std::mem::take(&mut self.0.hosts).into_iter().map(|host| host.entry).collect();
-        self.event_with(entries)
-    }
-
-    fn event_with(&self, entries: Vec<ryefront_policy::EndpointEntry>) -> Event {
-        if self.is_snapshot() { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) }
-    }
-}
-
-/// A real endpoint registry, which has no connections.
-#[derive(Clone)]
-pub(crate) struct Registry(Rc<EndpointRegistry>);
-
-impl Registry {
-    pub(crate) fn new(idle_timeout: Duration) -> Self {
-        Self(EndpointRegistry::new(
-            Duration::from_secs_f64(CONNECT_TIMEOUT_MS / 1000.0),
-            idle_timeout,
-            LoadReportSource::Responses,
-            FILE_DESCRIPTORS,
-        ))
-    }
-
-    pub(crate) fn apply(&self, list: &EndpointList) {
-        self.0.update(&list.0);
-    }
-
-    pub(crate) fn shared(&self) -> Rc<EndpointRegistry> {
-        self.0.clone()
-    }
-}
-
-/// The idle connections of a gateway.
-#[derive(Default)]
-pub(crate) struct ConnectionPool {
-    /// For each endpoint, since when each connection is idle.
-    idle_since: HashMap<u32, Vec<Micros>>,
-}
-
-impl ConnectionPool {
-    /// Takes the connection that was used last, if one has not reached the idle timeout.
-    pub(crate) fn acquire(&mut self, endpoint: u32, now: Micros, idle_timeout: Micros) -> bool {
-        let Some(idle_since) = self.idle_since.get_mut(&endpoint) else { return false };
-        idle_since.retain(|since| now - since < idle_timeout);
-        idle_since.pop().is_some()
-    }
-
-    pub(crate) fn release(&mut self, endpoint: u32, now: Micros) {
-        self.idle_since.entry(endpoint).or_default().push(now);
-    }
-
-    /// Removes all connections to an endpoint, as it is gone.
-    pub(crate) fn close_all(&mut self, endpoint: u32) {
-        self.idle_since.remove(&endpoint);
-    }
-}
-
 /// Bytes of the endpoint lists that a gateway received.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ListBytes {
@@ -197,7 +112,8 @@
         actions
     }
 
-    /// Applies a list to the registry, as a real gateway does first, and returns the event for the policy engine.
+    /// Applies a list to the registry, as a real gateway does first, and returns the event for the policy
+    /// engine.
     pub(crate) fn receive_list(&mut self, published: &PublishedList, index: usize, now: Micros) -> Event {
         if self.list_received_at.len() <= index {
             self.list_received_at.resize(index + 1, None);
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,17 +1,19 @@
 //! A model of a fleet of gateways in virtual time.
 //!
-//! The gateways are the real policy engine and the real endpoint list code without sockets. They share one process and
-//! one virtual clock with models of clients, tenants, counter, discovery, network and endpoints. [`run`] simulates an
-//! experiment, [`slopes`] measures what each role costs.
+//! The gateways are the real policy engine and the real endpoint list code without sockets. They share one
+//! process and one virtual clock with models of clients, tenants, counter, discovery, network and endpoints.
+//! [`run`] simulates an experiment, [`slopes`] measures what each role costs.
 //!
-//! A simulation never reads the time of day: the same experiment and seed give the same result, byte for byte.
+//! A simulation never reads the time of day: the same experiment and seed give the same result, byte for
+//! byte.
 //!
 //! The modules in reading order:
 //!
 //! - `experiment`: the file that describes a fleet and its load.
 //! - `simulation`: the loop; `event_queue`, `time`, `random` and `setup` serve it.
 //! - `clients`, `tenants`, `attempts`, `requests`: who sends what, and what becomes of it.
-//! - `gateway_process`, `endpoints`, `counter`, `discovery`, `network`: the parts of the fleet.
+//! - `gateway_process`, `connection`, `endpoint_list`, `endpoints`, `counter`, `discovery`, `network`: the
+//!   parts of the fleet.
 //! - `lifecycle`: the replacement of endpoints.
 //! - `report`: what is counted, and the result.
 
@@ -20,8 +22,10 @@
 
 mod attempts;
 mod clients;
+mod connection;
 mod counter;
 mod discovery;
+mod endpoint_list;
 mod endpoints;
 mod event_queue;
 pub mod experiment;
--- a/fleet/src/lifecycle.rs
+++ b/fleet/src/lifecycle.rs
@@ -1,17 +1,29 @@
-//! Replacement of endpoints: each drains, stops after its grace, and has a successor that starts in slow start.
+//! Replacement of endpoints: each drains, stops after its grace, and has a successor that starts in slow
+//! start.
 
 use crate::discovery::Discovery;
 use crate::endpoints::Endpoints;
-use crate::event_queue::{EventQueue, SimEvent};
-use crate::experiment;
+use crate::event_queue::{EventQueue, Replacement, SimEvent};
+use crate::experiment::{self, Interval};
+use crate::gateway_process::GatewayProcess;
 use crate::random::Random;
 use crate::time::{self, Micros};
 use ryefront_policy::EndpointState;
 use std::collections::HashMap;
 
+/// What a replacement changes.
+pub(crate) struct FleetState<'a> {
+    pub(crate) endpoints: &'a mut Endpoints,
+    pub(crate) discovery: &'a mut Discovery,
+    pub(crate) events: &'a mut EventQueue,
+    /// Draws the speed of new endpoints.
+    pub(crate) random: &'a mut Random,
+}
+
 /// The replacement of a part of all endpoints.
 pub(crate) struct Rollout {
     settings: experiment::Rollout,
+    endpoint_speed: Interval<f64>,
     /// For a draining endpoint, the index of the first list that says so.
     drain_published_in: HashMap<u32, usize>,
     /// Endpoints that drain, but in no list yet.
@@ -21,26 +33,23 @@
 impl Rollout {
     /// Schedules the replacement of endpoints drawn at random from so many.
     pub(crate) fn schedule(
-        settings: &experiment::Rollout, endpoint_count: u32, random: &mut Random, events: &mut EventQueue,
+        settings: &experiment::Rollout, endpoint_speed: Interval<f64>, endpoint_count: u32,
+        random: &mut Random, events: &mut EventQueue,
     ) -> Self {
         let mut order: Vec<u32> = (0..endpoint_count).collect();
         let replaced = (f64::from(endpoint_count) * settings.replaced_fraction).round() as usize;
         for n in 0..replaced {
             order.swap(n, n + random.below(endpoint_count as usize - n));
             let at_s = settings.start_s + settings.duration_s * n as f64 / replaced as f64;
-            events.schedule(time::from_s(at_s), SimEvent::EndpointDrains { endpoint: order[n] });
+            let drain = Replacement::Drain { endpoint: order[n] };
+            events.schedule(time::from_s(at_s), SimEvent::Replacement(drain));
+        }
+        Self {
+            settings: settings.clone(),
+            endpoint_speed,
+            drain_published_in: HashMap::new(),
+            unpublished_drains: Vec::new(),
         }
-        let settings = settings.clone();
-        Self { settings, drain_published_in: HashMap::new(), unpublished_drains: Vec::new() }
-    }
-
-    pub(crate) fn drain_grace(&self) -> Micros {
-        time::from_s(self.settings.drain_grace_s)
-    }
-
-    /// The index of the first list that says that an endpoint drains.
-    pub(crate) fn drain_published_in(&self, endpoint: u32) -> Option<usize> {
-        self.drain_published_in.get(&endpoint).copied()
     }
 
     /// Records that a list was published with all drains so far.
@@ -50,21 +59,38 @@
         }
     }
 
-    pub(crate) fn drain(
-        &mut self, endpoint: u32, now: Micros, endpoints: &mut Endpoints, discovery: &mut Discovery,
-        events: &mut EventQueue,
-    ) {
-        self.unpublished_drains.push(endpoint);
-        discovery.record(endpoints.set_state(endpoint, EndpointState::Draining));
-        events.schedule(now + self.drain_grace(), SimEvent::EndpointStops { endpoint });
+    /// Whether a gateway has known for longer than the drain grace that an endpoint drains.
+    pub(crate) fn is_past_drain_grace(&self, endpoint: u32, gateway: &GatewayProcess, now: Micros) -> bool {
+        let list = self.drain_published_in.get(&endpoint);
+        let notified_at = list.and_then(|list| gateway.received_list_at(*list));
+        notified_at.is_some_and(|at| at + self.drain_grace() < now)
+    }
+
+    /// Performs a step of a replacement and schedules the next one.
+    pub(crate) fn perform(&mut self, step: Replacement, now: Micros, fleet: FleetState<'_>) {
+        let FleetState { endpoints, discovery, events, random } = fleet;
+        match step {
+            Replacement::Drain { endpoint } => {
+                self.unpublished_drains.push(endpoint);
+                discovery.record(endpoints.set_state(endpoint, EndpointState::Draining));
+                let stop = Replacement::Stop { endpoint };
+                events.schedule(now + self.drain_grace(), SimEvent::Replacement(stop));
+            }
+            Replacement::Stop { endpoint } => {
+                discovery.record(endpoints.set_state(endpoint, EndpointState::Removed));
+                let boot_time = time::from_s(self.settings.boot_s);
+                let start = Replacement::StartSuccessor { replaced: endpoint };
+                events.schedule(now + boot_time, SimEvent::Replacement(start));
+            }
+            Replacement::StartSuccessor { replaced } => {
+                let speed = random.within(self.endpoint_speed);
+                let successor = endpoints.add_successor(replaced, speed, now);
+                discovery.record(endpoints.list_entry(successor));
+            }
+        }
     }
 
-    pub(crate) fn stop(
-        &mut self, endpoint: u32, now: Micros, endpoints: &mut Endpoints, discovery: &mut Discovery,
-        events: &mut EventQueue,
-    ) {
-        discovery.record(endpoints.set_state(endpoint, EndpointState::Removed));
-        let boot_time = time::from_s(self.settings.boot_s);
-        events.schedule(now + boot_time, SimEvent::EndpointStarts { replaced: endpoint });
+    fn drain_grace(&self) -> Micros {
+        time::from_s(self.settings.drain_grace_s)
     }
 }
--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -12,8 +12,8 @@
 
 /// A model of a fleet of gateways: what each role costs, and how a complete fleet performs.
 ///
-/// The gateways' policy engine and endpoint list code are real; clients, counter, discovery, network and endpoints are
-/// modelled, in virtual time. Logs go to standard error.
+/// The gateways' policy engine and endpoint list code are real; clients, counter, discovery, network and
+/// endpoints are modelled, in virtual time. Logs go to standard error.
 #[derive(Parser)]
 #[command(name = "ryefront-fleet", version)]
 struct Cli {
@@ -25,11 +25,12 @@
 enum Command {
     /// Measure what one unit of each role costs, in time and bytes, up to the target sizes.
     ///
-    /// Nothing is modelled: the real policy engine and the real endpoint list code are timed alone, on one core, and a
-    /// line or a logarithm is fitted through the points and evaluated at the target (26,000 endpoints, 300,000 tenants,
-    /// 15,000 routes). The number of gateways is proportional to the endpoints as at the target (3,100 to 26,000), and
-    /// at least 300. A route is a request class of the settings. Bytes are the growth of resident memory of a process
-    /// of its own for each size. Run it from a release build on a machine that is not busy.
+    /// Nothing is modelled: the real policy engine and the real endpoint list code are timed alone, on one
+    /// core, and a line or a logarithm is fitted through the points and evaluated at the target (26,000
+    /// endpoints, 300,000 tenants, 15,000 routes). The number of gateways is proportional to the endpoints as
+    /// at the target (3,100 to 26,000), and at least 300. A route is a request class of the settings. Bytes
+    /// are the growth of resident memory of a process of its own for each size. Run it from a release build
+    /// on a machine that is not busy.
     Slopes {
         /// Print an array of objects (name, unit, points, at_target and more) instead of the table.
         #[arg(long)]
@@ -38,8 +39,8 @@
     /// Simulate an experiment and print its result.
     ///
     /// The summary goes to standard output. The same file and seed give the same result, byte for byte. The
-    /// status is 0 if all invariants held, 1 if one was violated (standard error says which), 2 if the file cannot
-    /// be used.
+    /// status is 0 if all invariants held, 1 if one was violated (standard error says which), 2 if the file
+    /// cannot be used.
     ///
     /// Try: ryefront-fleet run fleet/experiments/calm-300.toml --gateways 30
     Run {
@@ -49,12 +50,12 @@
         /// The seed instead of the one in the file.
         #[arg(long)]
         seed: Option<u64>,
-        /// Simulate so many gateways, with endpoints, tenants, requests and counter in proportion to the fleet in the
-        /// file.
+        /// Simulate so many gateways, with endpoints, tenants, requests and counter in proportion to the
+        /// fleet in the file.
         #[arg(long, value_parser = clap::value_parser!(u32).range(1..=100_000))]
         gateways: Option<u32>,
-        /// Write result.json and summary.md into this directory, which is created if necessary. Without it nothing is
-        /// written.
+        /// Write result.json and summary.md into this directory, which is created if necessary. Without it
+        /// nothing is written.
         #[arg(long, value_name = "DIR")]
         out: Option<PathBuf>,
     },
--- a/fleet/src/random.rs
+++ b/fleet/src/random.rs
@@ -4,8 +4,8 @@
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
-/// The parts of the model that draw random numbers. Each has a stream of its own, so that the draws of one do not
-/// change those of another.
+/// The parts of the model that draw random numbers. Each has a stream of its own, so that the draws of one do
+/// not change those of another.
 #[derive(Clone, Copy)]
 pub(crate) enum Stream {
     /// Tenants, and the requests of their clients.
--- a/fleet/src/report/metrics.rs
+++ b/fleet/src/report/metrics.rs
@@ -5,8 +5,8 @@
 use crate::time::Micros;
 use hdrhistogram::Histogram;
 
-/// Why a request was rejected. The policy gives no reason, so it is derived from the tenant's true quota and from the
-/// event that led to the rejection.
+/// Why a request was rejected. The policy gives no reason, so it is derived from the tenant's true quota and
+/// from the event that led to the rejection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RejectionReason {
     /// The tenant truly had too few units left.
@@ -42,8 +42,8 @@
     pub(crate) crosses_regions: bool,
 }
 
-/// Counts of client attempts (`offered` and how they ended) and of forwarded attempts. Those of the warm-up are left
-/// out unless the documentation says otherwise.
+/// Counts of client attempts (`offered` and how they ended) and of forwarded attempts. Those of the warm-up
+/// are left out unless the documentation says otherwise.
 pub(crate) struct Metrics {
     /// With those of the warm-up.
     pub(crate) offered_with_warm_up: u64,
--- a/fleet/src/report/mod.rs
+++ b/fleet/src/report/mod.rs
@@ -1,13 +1,17 @@
-//! The result of a simulation: what is counted, the figures for machines, and the summary for people. Neither holds
-//! the time of day.
+//! The result of a simulation: what is counted, the figures for machines, and the summary for people. Neither
+//! holds the time of day.
 
+mod invariants;
 mod markdown;
 mod metrics;
 mod result;
+mod rounding;
 
+pub use invariants::Invariant;
+pub(crate) use invariants::worst_quota_usage;
 pub(crate) use metrics::{ForwardedAttempt, Metrics, RejectionReason, ServedAttempt};
+pub(crate) use result::ReportInput;
 pub use result::{
-    CounterCalls, EndpointLists, Failures, Invariant, Percentiles, Rejections, Report, SimulatedScale,
-    SlowStartLoad, Spread,
+    CounterCalls, EndpointLists, Failures, Percentiles, Rejections, Report, SimulatedScale, SlowStartLoad,
+    Spread,
 };
-pub(crate) use result::{ReportInput, worst_quota_usage};
--- a/fleet/src/report/result.rs
+++ b/fleet/src/report/result.rs
@@ -1,11 +1,12 @@
 //! The figures of a simulation, as `result.json` holds them.
 
+use super::invariants::{Invariant, invariants};
 use super::metrics::{Metrics, RejectionReason};
+use super::rounding::{fraction, round};
 use crate::counter::CounterStatistics;
 use crate::endpoints::Endpoints;
 use crate::experiment::Experiment;
 use crate::gateway_process::{GatewayProcess, ListBytes};
-use crate::tenants::{Tenant, Tenants};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
@@ -39,8 +40,8 @@
     pub beyond_quota: u64,
     /// An attempt had been forwarded.
     pub after_attempt: u64,
-    /// On arrival, though the tenant had the units: shed, the wait queue full, or beyond the quota by the gateway's
-    /// reading.
+    /// On arrival, though the tenant had the units: shed, the wait queue full, or beyond the quota by the
+    /// gateway's reading.
     pub on_arrival: u64,
     /// On a reply of the counter, though the tenant had the units.
     pub on_counter_reply: u64,
@@ -127,8 +128,9 @@
     pub delta_bytes_per_gateway: f64,
 }
 
-/// Attempts sent to endpoints in slow start, and their budget: within the overload window all gateways together send
-/// at most N + 2 sqrt(N) + 2, where N is the overload factor times the endpoint's present capacity.
+/// Attempts sent to endpoints in slow start, and their budget: within the overload window all gateways
+/// together send at most N + 2 sqrt(N) + 2, where N is the overload factor times the endpoint's present
+/// capacity.
 #[derive(Clone, Debug, Serialize)]
 pub struct SlowStartLoad {
     /// Endpoints that started.
@@ -143,25 +145,6 @@
     pub worst_budget: f64,
 }
 
-/// Something that must hold in every simulation.
-#[derive(Clone, Debug, Serialize)]
-pub struct Invariant {
-    /// What must hold.
-    pub name: &'static str,
-    /// Whether it held.
-    pub held: bool,
-    /// The measured value.
-    pub value: f64,
-    /// The most that the value may be.
-    pub limit: f64,
-}
-
-impl Invariant {
-    fn new(name: &'static str, value: f64, limit: f64) -> Self {
-        Self { name, held: value <= limit, value, limit }
-    }
-}
-
 /// The result of a simulation. Counts are of client attempts after the warm-up, unless they say otherwise.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
@@ -199,8 +182,8 @@
     pub over_quota: u64,
     /// Those as a fraction of the served ones.
     pub over_quota_fraction: f64,
-    /// The latency of served ones without the attempt that was served, but with its new connection. The gateway's own
-    /// processor time is not in it: see `slopes`.
+    /// The latency of served ones without the attempt that was served, but with its new connection. The
+    /// gateway's own processor time is not in it: see `slopes`.
     pub added_ms: Percentiles,
     /// The latency of served ones at the gateway.
     pub latency_ms: Percentiles,
@@ -242,35 +225,6 @@
     pub(crate) metrics: Metrics,
 }
 
-/// Six decimals, which is enough to compare results.
-fn round(value: f64) -> f64 {
-    (value * 1e6).round() / 1e6
-}
-
-fn fraction(part: u64, of: u64) -> f64 {
-    round(part as f64 / of.max(1) as f64)
-}
-
-/// The highest usage of a tenant, relative to the most that its quota allows.
-pub(crate) fn worst_quota_usage(
-    experiment: &Experiment, tenants: &Tenants, counter: CounterStatistics,
-) -> f64 {
-    let usage = |tenant: &Tenant| {
-        let quota = tenants.quota(tenant);
-        let allowed = quota.burst + quota.rate * experiment.duration_s;
-        // While the counter is unavailable, each gateway also admits from its fallback allowance.
-        let counter_failed = counter.timed_out + counter.rejected > 0;
-        let fallback = if counter_failed { allowed } else { 0.0 };
-        // Each quota window grants a burst, and a run may begin and end inside of one; each gateway may admit one
-        // request while the give-back of another is on its way.
-        let in_transit = quota.burst + f64::from(tenant.gateway_count * experiment.load.units.high);
-        tenant.used_units / (allowed + in_transit + fallback)
-    };
-    // A quota of less than a unit per gateway holds on average only.
-    let is_bounded = |tenant: &&Tenant| tenants.quota(tenant).burst >= f64::from(tenant.gateway_count);
-    tenants.iter().filter(is_bounded).map(usage).fold(0.0, f64::max)
-}
-
 impl Report {
     pub(crate) fn new(input: &ReportInput) -> Self {
         let ReportInput { experiment, endpoints, counter, metrics, .. } = input;
@@ -306,7 +260,7 @@
             handshakes_per_attempt: fraction(metrics.handshakes, metrics.forwarded),
             cross_zone_fraction: fraction(metrics.cross_zone, metrics.forwarded),
             cross_region_fraction: fraction(metrics.cross_region, metrics.forwarded),
-            invariants: invariants(input),
+            invariants: invariants(metrics, input.worst_quota_usage, endpoints.slow_start().worst_ratio),
         }
     }
 
@@ -324,29 +278,6 @@
     }
 }
 
-fn invariants(input: &ReportInput) -> Vec<Invariant> {
-    let metrics = &input.metrics;
-    let none = |name, count: u64| Invariant::new(name, count as f64, 0.0);
-    vec![
-        none("every client attempt and every forwarded attempt is accounted for", metrics.unaccounted),
-        none("no client attempt has two final answers", metrics.duplicate_answers),
-        none("no action is invalid", metrics.invalid_actions),
-        none("every client attempt is answered by its deadline", metrics.unanswered),
-        none("no client attempt is open at the end", metrics.open_at_end),
-        none("nothing is sent to a draining endpoint after its grace", metrics.sent_after_drain),
-        Invariant::new(
-            "no tenant with a unit for each gateway exceeds its quota",
-            round(input.worst_quota_usage),
-            1.0,
-        ),
-        Invariant::new(
-            "no endpoint in slow start is sent more than its budget",
-            round(input.endpoints.slow_start().worst_ratio),
-            1.0,
-        ),
-    ]
-}
-
 impl SimulatedScale {
     fn of(input: &ReportInput) -> Self {
         let experiment = input.experiment;
--- a/fleet/src/setup.rs
+++ b/fleet/src/setup.rs
@@ -1,8 +1,9 @@
 //! The fleet at the start of a simulation.
 
+use crate::endpoint_list::Registry;
 use crate::endpoints::Endpoints;
 use crate::experiment::Experiment;
-use crate::gateway_process::{self, GatewayProcess, Registry};
+use crate::gateway_process::{self, GatewayProcess};
 use crate::random::Random;
 use crate::time::Micros;
 use ryefront_policy::SettingsError;
--- a/fleet/src/simulation.rs
+++ b/fleet/src/simulation.rs
@@ -1,17 +1,19 @@
 //! The simulation: one loop over the events of the fleet in virtual time, and what each event leads to.
 
-use crate::attempts::{AttemptEnding, InFlightAttempt};
+use crate::attempts::AttemptEnding;
 use crate::clients::ClientRequest;
+use crate::connection::Route;
 use crate::counter::{Counter, CounterCall};
 use crate::discovery::{Discovery, ListEntry, endpoint_number};
+use crate::endpoint_list::ListError;
 use crate::endpoints::{Acceptance, Endpoints, Job};
-use crate::event_queue::{EventQueue, SimEvent};
+use crate::event_queue::{EventQueue, Replacement, SimEvent};
 use crate::experiment::Experiment;
-use crate::gateway_process::{GatewayProcess, ListError};
-use crate::lifecycle::Rollout;
+use crate::gateway_process::GatewayProcess;
+use crate::lifecycle::{FleetState, Rollout};
 use crate::network::Network;
 use crate::random::{Random, Stream};
-use crate::report::{ForwardedAttempt, Metrics, RejectionReason, Report, ReportInput, worst_quota_usage};
+use crate::report::{Metrics, RejectionReason, Report, ReportInput, worst_quota_usage};
 use crate::requests::{Completion, Requests};
 use crate::setup;
 use crate::time::{self, Micros};
@@ -99,11 +101,10 @@
             self.events.schedule(at, SimEvent::ListReceived { gateway, list });
         }
         self.schedule_publication();
-        self.rollout = self
-            .experiment
-            .rollout
-            .as_ref()
-            .map(|settings| Rollout::schedule(settings, endpoint_count, random, &mut self.events));
+        self.rollout = self.experiment.rollout.as_ref().map(|settings| {
+            let speed = self.experiment.endpoints.speed;
+            Rollout::schedule(settings, speed, endpoint_count, random, &mut self.events)
+        });
         self.requests.schedule_next(CLIENTS_START_AT, &mut self.events);
         Ok(())
     }
@@ -167,15 +168,11 @@
                 let event = self.gateways[gateway as usize].receive_list(published, list, self.now);
                 self.notify(gateway, event, RejectionReason::WaitExpired);
             }
-            SimEvent::EndpointDrains { .. }
-            | SimEvent::EndpointStops { .. }
-            | SimEvent::EndpointStarts { .. } => self.endpoint_replaced(&event),
+            SimEvent::Replacement(step) => self.replace_endpoint(step),
         }
         Ok(())
     }
 
-    // ---- Gateways ----
-
     /// Passes an event to a gateway and performs the actions it leads to.
     fn notify(&mut self, gateway: u32, event: Event, rejection_reason: RejectionReason) {
         self.rejection_reason = rejection_reason;
@@ -203,7 +200,8 @@
                 self.events.schedule(self.now + delay, SimEvent::CounterCalled(call));
             }
             Action::Log(text) => tracing::debug!(gateway, "{text}"),
-            // The model cancels attempts itself when a client disconnects, and its settings allow none of the others.
+            // The model cancels attempts itself when a client disconnects, and its settings allow none of the
+            // others.
             Action::CancelAttempt { .. }
             | Action::HealthCheck { .. }
             | Action::Gossip { .. }
@@ -212,50 +210,38 @@
     }
 
     fn forward(&mut self, gateway: u32, id: u64, endpoint_name: Name) {
-        let number = endpoint_number(&endpoint_name).filter(|number| *number < self.endpoints.count());
-        let idle = self.requests.attempts.get(id).is_some_and(|attempt| attempt.in_flight.is_none());
-        let (Some(number), true) = (number, idle) else {
+        let endpoint = endpoint_number(&endpoint_name).filter(|number| *number < self.endpoints.count());
+        let attempt = self.requests.attempts.get(id).filter(|attempt| attempt.in_flight.is_none());
+        let (Some(endpoint), Some(_)) = (endpoint, attempt) else {
             // A real gateway reports such an attempt as not sent; here it is a fault of the policy.
             self.metrics.invalid_actions += 1;
             return;
         };
-        let endpoint = number as u32;
+        let endpoint = endpoint as u32;
         self.endpoints.record_attempt(endpoint, gateway, self.now);
-        self.metrics.sent_after_drain += u64::from(self.is_past_drain_grace(gateway, endpoint));
-        let idle_timeout = time::from_s(self.experiment.endpoints.idle_timeout_s);
-        let process = &mut self.gateways[gateway as usize];
-        let new_connection = !process.connections.acquire(endpoint, self.now, idle_timeout);
-        let (from, to) = (process.zone(), self.endpoints.get(endpoint).zone());
-        let delay = self.network.network_delay(from, to);
-        let settings = &self.experiment.endpoints;
-        let round_trips = u64::from(settings.handshake_round_trips);
-        let handshake = if new_connection { delay * 2 * round_trips } else { 0 };
-        let handshake_work = if new_connection { settings.handshake_work_ms * 1000.0 } else { 0.0 };
+        let process = &self.gateways[gateway as usize];
+        let rollout = self.rollout.as_ref();
+        let after_drain = rollout.is_some_and(|r| r.is_past_drain_grace(endpoint, process, self.now));
+        self.metrics.sent_after_drain += u64::from(after_drain);
+        let route = Route {
+            from: self.gateways[gateway as usize].zone(),
+            to: self.endpoints.get(endpoint).zone(),
+            endpoint,
+        };
+        let pool = &mut self.gateways[gateway as usize].connections;
+        let connection = pool.connect(&route, &self.experiment.endpoints, &mut self.network, self.now);
         let Some(attempt) = self.requests.attempts.get_mut(id) else { return };
-        let number = attempt.forwarded;
-        attempt.forwarded += 1;
-        let sent_at = self.now;
-        attempt.in_flight = Some(InFlightAttempt { number, endpoint, endpoint_name, sent_at, handshake });
+        let handshake = connection.handshake;
+        let in_flight = attempt.forward(endpoint, endpoint_name, handshake, self.now);
         if attempt.request.counted {
-            let crosses_regions = !self.network.same_region(from, to);
-            let forwarded = ForwardedAttempt { new_connection, crosses_zones: from != to, crosses_regions };
-            self.metrics.record_forwarded(&forwarded);
+            self.metrics.record_forwarded(&connection.forwarded);
         }
-        let job = Job { id, attempt: number, gateway, work: attempt.request.work + handshake_work };
-        self.events.schedule(self.now + handshake + delay, SimEvent::AttemptArrived { endpoint, job });
-    }
-
-    /// Whether a gateway has known for longer than the drain grace that an endpoint drains.
-    fn is_past_drain_grace(&self, gateway: u32, endpoint: u32) -> bool {
-        let Some(rollout) = &self.rollout else { return false };
-        let drained = self.endpoints.get(endpoint).state() != EndpointState::Ready;
-        let list = rollout.drain_published_in(endpoint).filter(|_| drained);
-        let notified_at = list.and_then(|list| self.gateways[gateway as usize].received_list_at(list));
-        notified_at.is_some_and(|at| at + rollout.drain_grace() < self.now)
+        let work = attempt.request.work + connection.handshake_work;
+        let job = Job { id, attempt: in_flight, gateway, work };
+        let arrives_at = self.now + handshake + connection.delay;
+        self.events.schedule(arrives_at, SimEvent::AttemptArrived { endpoint, job });
     }
 
-    // ---- Requests ----
-
     fn request_arrived(&mut self, request: ClientRequest) {
         let gateway = request.gateway;
         let arrival = self.requests.open(request, self.now, &mut self.events, &mut self.metrics);
@@ -277,13 +263,7 @@
             self.metrics.record_forwarded_ended();
         }
         let connections = &mut self.gateways[gateway as usize].connections;
-        match outcome {
-            Outcome::Served | Outcome::Error | Outcome::Rejected => {
-                connections.release(in_flight.endpoint, self.now);
-            }
-            Outcome::ConnectFailed => connections.close_all(in_flight.endpoint),
-            _ => {}
-        }
+        connections.attempt_ended(in_flight.endpoint, outcome, self.now);
         if outcome == Outcome::Served {
             self.complete(id, Completion::Served { added });
         }
@@ -318,8 +298,6 @@
         self.notify(gateway, in_flight.end(ending, self.now), RejectionReason::WaitExpired);
     }
 
-    // ---- Endpoints ----
-
     fn attempt_arrived(&mut self, endpoint: u32, job: Job) {
         if !self.requests.attempts.awaits(&job) {
             return;
@@ -361,27 +339,18 @@
         self.events.schedule(self.now + delay, event);
     }
 
-    fn endpoint_replaced(&mut self, event: &SimEvent) {
-        let Some(rollout) = &mut self.rollout else { return };
-        let (endpoints, discovery, events) = (&mut self.endpoints, &mut self.discovery, &mut self.events);
-        match *event {
-            SimEvent::EndpointDrains { endpoint } => {
-                rollout.drain(endpoint, self.now, endpoints, discovery, events);
-            }
-            SimEvent::EndpointStops { endpoint } => {
-                rollout.stop(endpoint, self.now, endpoints, discovery, events);
-            }
-            SimEvent::EndpointStarts { replaced } => {
-                let speed = self.service_random.within(self.experiment.endpoints.speed);
-                let successor = endpoints.add_successor(replaced, speed, self.now);
-                discovery.record(endpoints.list_entry(successor));
-            }
-            _ => {}
+    fn replace_endpoint(&mut self, step: Replacement) {
+        let fleet = FleetState {
+            endpoints: &mut self.endpoints,
+            discovery: &mut self.discovery,
+            events: &mut self.events,
+            random: &mut self.service_random,
+        };
+        if let Some(rollout) = &mut self.rollout {
+            rollout.perform(step, self.now, fleet);
         }
     }
 
-    // ---- Counter and discovery ----
-
     fn counter_called(&mut self, call: &CounterCall) {
         let reply = self.counter.serve(call, self.now, &mut self.service_random);
         let zone = self.gateways[call.gateway as usize].zone();
--- a/fleet/src/slopes/list_watch.rs
+++ b/fleet/src/slopes/list_watch.rs
@@ -2,7 +2,7 @@
 
 use super::SlopesError;
 use super::subject::{IDLE_TIMEOUT, gateway_count, settings, snapshot};
-use crate::gateway_process::Registry;
+use crate::endpoint_list::Registry;
 use ryefront_gateway::discovery::backoff::Pace;
 use ryefront_gateway::discovery::watch;
 use ryefront_gateway::engine::Engine;
--- a/fleet/src/slopes/memory.rs
+++ b/fleet/src/slopes/memory.rs
@@ -13,7 +13,8 @@
     Endpoints,
 }
 
-/// By how many bytes this process grows as a gateway in it takes a load. To be called in a process of its own.
+/// By how many bytes this process grows as a gateway in it takes a load. To be called in a process of its
+/// own.
 ///
 /// # Errors
 /// When the memory cannot be read or the gateway's code rejects what it is given.
--- a/fleet/src/slopes/mod.rs
+++ b/fleet/src/slopes/mod.rs
@@ -1,5 +1,6 @@
-//! What one unit of each role costs, in time and in bytes, by the size of the fleet: the real code alone, with nothing
-//! modelled around it. A line or a logarithm is fitted through the points and evaluated at the target size.
+//! What one unit of each role costs, in time and in bytes, by the size of the fleet: the real code alone,
+//! with nothing modelled around it. A line or a logarithm is fitted through the points and evaluated at the
+//! target size.
 //!
 //! - `measure`: which figures are measured, and what is required of them.
 //! - `subject`: the gateway code that is measured.
@@ -7,8 +8,8 @@
 //! - `memory`: the growth of a process.
 //! - `fit`: the fitted line; `table`: the output.
 //!
-//! Times are medians by the steady clock. Bytes are the growth of the process's resident memory, in a process of its
-//! own for each size, so that memory freed before is not reused.
+//! Times are medians by the steady clock. Bytes are the growth of the process's resident memory, in a process
+//! of its own for each size, so that memory freed before is not reused.
 
 mod fit;
 mod list_watch;
@@ -22,7 +23,7 @@
 pub use memory::{MemoryLoad, measure_memory};
 pub use table::{json, table};
 
-use crate::gateway_process::ListError;
+use crate::endpoint_list::ListError;
 use ryefront_policy::SettingsError;
 use std::io;
 
--- a/fleet/src/slopes/subject.rs
+++ b/fleet/src/slopes/subject.rs
@@ -1,8 +1,9 @@
-//! The code that is measured: a policy engine and an endpoint registry, with a clock and a counter of their own.
+//! The code that is measured: a policy engine and an endpoint registry, with a clock and a counter of their
+//! own.
 
 use super::SlopesError;
 use crate::discovery::{ListEntry, ListKind, list_text};
-use crate::gateway_process::{EndpointList, ListError, Registry};
+use crate::endpoint_list::{EndpointList, ListError, Registry};
 use ryefront_policy::{
     Action, Arrival, AttemptEnd, CounterResult, DedupScope, EndpointState, Event, Idempotency,
     LoadReportSource, Millis, Name, Outcome, PolicyEngine, QuotaPlan, RequestClass, Settings, SettingsError,
@@ -107,7 +108,8 @@
     list_text(1, ListKind::Snapshot, &entries)
 }
 
-/// The text of a list that changes ten endpoints: five drain, and the five that drained before are ready again.
+/// The text of a list that changes ten endpoints: five drain, and the five that drained before are ready
+/// again.
 pub(super) fn delta(round: usize) -> String {
     let half = DELTA_SIZE / 2;
     let entry = |n: usize| {
@@ -185,8 +187,8 @@
         Ok(start.elapsed())
     }
 
-    /// Plays one request from its arrival to its end, whose counter calls and attempt are answered at once. It must be
-    /// forwarded once, as other requests are not to be measured.
+    /// Plays one request from its arrival to its end, whose counter calls and attempt are answered at once.
+    /// It must be forwarded once, as other requests are not to be measured.
     pub(super) fn request(&mut self, tenant: &Name, class: &Name) -> Result<RequestCost, SlopesError> {
         let mut cost = RequestCost { time: Duration::ZERO, counter_calls: 0 };
         let mut forwarded = 0;
--- a/fleet/tests/experiment.rs
+++ b/fleet/tests/experiment.rs
@@ -1,4 +1,5 @@
-//! Experiment files that cannot be used: an error of one line with file, line, key and what was expected, and status 2.
+//! Experiment files that cannot be used: an error of one line with file, line, key and what was expected, and
+//! status 2.
 
 use std::path::Path;
 use std::process::Command;
--- a/fleet/tests/simulation.rs
+++ b/fleet/tests/simulation.rs
@@ -18,8 +18,8 @@
     let rollout = experiment.rollout.as_mut().expect("a rollout");
     rollout.start_s = 3.0;
     rollout.duration_s = 2.0;
-    // With a counter that answers all calls, no gateway uses its fallback allowance, and heavy tenants come close to
-    // their quota.
+    // With a counter that answers all calls, no gateway uses its fallback allowance, and heavy tenants come
+    // close to their quota.
     experiment.counter.calls_per_s = 1e6;
     experiment.load.heavy_usage_factor = Interval { low: 5.0, high: 10.0 };
     experiment
--- a/sim-adapter/tests/settings.rs
+++ b/sim-adapter/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings with one key missing or zero, played on the wire: every request still gets one answer in time, or the
-//! start of the instance names the fault.
+//! Settings with one key missing or zero, played on the wire: every request still gets one answer in time, or
+//! the start of the instance names the fault.
 
 use ryefront_sim_adapter::Host;
 use serde_json::{Value, json};
