--- a/fleet/src/experiment/file.rs
+++ b/fleet/src/experiment/file.rs
@@ -128,7 +128,7 @@
     /// The usage of a heavy tenant as a factor on the rate of its plan.
     #[serde(rename = "heavy_times")]
     pub heavy_usage_factor: Interval<f64>,
-    /// Units of a request, whole numbers.
+    /// Units of a request, integers.
     pub units: Interval<u32>,
     /// The most retries of a rejected request.
     #[serde(rename = "retries")]
--- a/fleet/src/random.rs
+++ b/fleet/src/random.rs
@@ -1,4 +1,4 @@
-//! Random numbers: a fixed generator with a seed, so that results stay the same from one build to the next.
+//! Random numbers: a fixed generator with a seed, so that results do not change from one build to the next.
 
 use crate::experiment::Interval;
 use rand_pcg::Pcg64Mcg;
@@ -44,7 +44,7 @@
         interval.low + (interval.high - interval.low) * self.unit()
     }
 
-    /// A whole number below `end`, uniformly; 0 if `end` is 0.
+    /// An integer below `end`, uniformly; 0 if `end` is 0.
     pub(crate) fn below(&mut self, end: usize) -> usize {
         ((self.unit() * end as f64) as usize).min(end.saturating_sub(1))
     }
--- a/fleet/src/report/result.rs
+++ b/fleet/src/report/result.rs
@@ -60,7 +60,7 @@
 
 /// Percentiles of a duration, in virtual ms.
 #[derive(Clone, Debug, Serialize)]
-#[allow(missing_docs, reason = "the names say it")]
+#[allow(missing_docs, reason = "the names are clear")]
 pub struct Percentiles {
     pub p50: f64,
     pub p90: f64,
@@ -145,7 +145,8 @@
     pub worst_budget: f64,
 }
 
-/// The result of a simulation. Counts are of client attempts after the warm-up, unless they say otherwise.
+/// The result of a simulation. Counts are of client attempts after the warm-up, unless their documentation
+/// says otherwise.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// The name of the experiment.
@@ -183,7 +184,7 @@
     /// Those as a fraction of the served ones.
     pub over_quota_fraction: f64,
     /// The latency of served ones without the attempt that was served, but with its new connection. The
-    /// gateway's own processor time is not in it: see `slopes`.
+    /// gateway's processor time is not included: see `slopes`.
     pub added_ms: Percentiles,
     /// The latency of served ones at the gateway.
     pub latency_ms: Percentiles,
--- a/fleet/src/time.rs
+++ b/fleet/src/time.rs
@@ -1,4 +1,4 @@
-//! Virtual time: whole microseconds since the start of the simulation.
+//! Virtual time: integer microseconds since the start of the simulation.
 
 use ryefront_policy::Millis;
 
--- a/fleet/tests/experiment.rs
+++ b/fleet/tests/experiment.rs
@@ -76,7 +76,7 @@
     ),
     invalid("rate = 18", "rat = 18", "rat = 18", "plan.1.rat", "expected one of `name`"),
     invalid("grace_s = 1 ", "grace_s = 1\nhaste = 2 ", "haste", "release.haste", "expected one of `at_s`"),
-    invalid("parts = 3\n", "", "[counter]", "counter.parts", "missing field"),
+    invalid("parts = 3 ", "# ", "[counter]", "counter.parts", "missing field"),
     invalid("[network]", "[netwerk]", "[netwerk]", "netwerk", "unknown field"),
     invalid("jitter = 0.2", "jitter = = 0.2", "jitter", "jitter", "expected"),
     invalid("share = 0.3 ", "share = nan ", "share = nan", "release.share", "at most 1"),
--- a/fleet/tests/simulation.rs
+++ b/fleet/tests/simulation.rs
@@ -55,7 +55,7 @@
     ];
     assert_eq!(rejected.total, by_reason.iter().sum::<u64>());
     assert!(report.served > 500 && report.first_attempts < report.offered, "{}", report.markdown());
-    // The rollout took place: 0.3 of 13 endpoints were replaced, and the gateways were notified.
+    // The rollout ran: 0.3 of 13 endpoints were replaced, and the gateways were notified.
     assert_eq!(report.slow_start.starts, 4);
     assert!(
         report.slow_start.attempts > 0 && report.endpoint_lists.delta_bytes_per_gateway > 0.0,
--- a/sim-adapter/src/wire.rs
+++ b/sim-adapter/src/wire.rs
@@ -6,7 +6,7 @@
 
 /// Separates the fields of a line.
 pub(crate) const SEPARATOR: char = '\t';
-/// Stands for a value that is absent.
+/// The value of an absent field.
 pub(crate) const ABSENT: &str = "-";
 /// The two values of a boolean field.
 pub(crate) const TRUE: &str = "1";
--- a/sim-adapter/tests/settings.rs
+++ b/sim-adapter/tests/settings.rs
@@ -82,7 +82,8 @@
     first_sent_ms: u64,
 }
 
-/// A simulator of one instance. Every third counter call gets no reply, and each first attempt breaks.
+/// A simulator of one instance. Every third counter call gets no reply, and the connection of each first
+/// attempt is reset.
 struct Simulator {
     host: Host,
     /// The events to come, by their time and the order in which they were planned.
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Breaks a first attempt and serves a retry, which must be one that the request's class allows.
+    /// Resets the connection of a first attempt and serves a retry, which the request's class must allow.
     fn forward(&mut self, now: u64, id: u64, endpoint: &str) {
         let first = Attempt { number: 0, first_sent_ms: now };
         let attempt = *self.attempts.entry(id).and_modify(|last| last.number += 1).or_insert(first);
