--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -2,14 +2,14 @@
 //!
 //! The environment variable `FAULTS` holds rules, separated by semicolons; without it nothing is changed:
 //!
-//! - `seed=N`: the seed of all chance.
-//! - `CALL=ERRNO/PER_MILLE`, optionally followed by `@FROM-TO`: so many of a thousand calls fail with that error,
-//!   where given only from `FROM` to `TO` ms after the process began. Calls: `recv`, `send` (and `writev`), `accept`,
-//!   `socket`, `connect`, `setsockopt`, `epoll_ctl` (additions only), `epoll_wait`.
-//! - `short=PER_MILLE`: so many of a thousand reads and writes move a few bytes at most.
-//! - `realtime=MS`: the wall clock is off by this much; the monotonic clock is not touched.
+//! - `seed=N`: the seed of all random decisions.
+//! - `CALL=ERRNO/PER_MILLE`, optionally followed by `@FROM-TO`: calls fail with that error at this rate in a
+//!   thousand, if given only from `FROM` to `TO` ms after the first intercepted call. Calls: `recv`, `send`
+//!   (and `writev`), `accept`, `socket`, `connect`, `setsockopt`, `epoll_ctl` (additions only), `epoll_wait`.
+//! - `short=PER_MILLE`: reads and writes are limited to a few bytes at this rate in a thousand.
+//! - `realtime=MS`: the wall clock is shifted by this much; the monotonic clock is not.
 //!
-//! A failed call has no effect. Standard streams are left alone.
+//! A failed call has no effect. Calls on standard streams never fail.
 
 use libc::{c_int, c_void, clockid_t, epoll_event, iovec, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::ffi::CStr;
@@ -18,11 +18,14 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// The most bytes that a short read or write moves.
-const SHORT: u64 = 7;
-const NANOS: i128 = 1_000_000_000;
+/// The most bytes of a short read or write.
+const MAX_SHORT_BYTES: u64 = 7;
+const NANOS_PER_SECOND: i128 = 1_000_000_000;
+const NANOS_PER_MILLI: i128 = 1_000_000;
+/// The period of a rule that names none: longer than any test.
+const ALWAYS: &str = "0-1000000000";
 
-/// One way in which a call fails.
+/// How one call fails.
 struct Rule {
     call: String,
     errno: c_int,
@@ -31,76 +34,94 @@
     to_ms: u128,
 }
 
+/// All rules of a process.
 struct Faults {
     rules: Vec<Rule>,
     short_per_mille: u64,
-    realtime_ms: i64,
-    random: AtomicU64,
-    begun: Instant,
+    realtime_shift_ms: i64,
+    /// The state of the generator, a SplitMix64.
+    random_state: AtomicU64,
+    started_at: Instant,
 }
 
 impl Faults {
     fn parse(text: &str) -> Self {
-        let (rules, random) = (Vec::new(), AtomicU64::new(0));
-        let mut faults = Self { rules, short_per_mille: 0, realtime_ms: 0, random, begun: Instant::now() };
+        let mut faults = Self {
+            rules: Vec::new(),
+            short_per_mille: 0,
+            realtime_shift_ms: 0,
+            random_state: AtomicU64::new(0),
+            started_at: Instant::now(),
+        };
         for entry in text.split(';').filter(|entry| !entry.is_empty()) {
             let (key, value) = entry.split_once('=').expect("FAULTS: KEY=VALUE");
             match key {
-                "seed" => faults.random = AtomicU64::new(value.parse().expect("FAULTS: seed")),
+                "seed" => faults.random_state = AtomicU64::new(value.parse().expect("FAULTS: seed")),
                 "short" => faults.short_per_mille = value.parse().expect("FAULTS: short"),
-                "realtime" => faults.realtime_ms = value.parse().expect("FAULTS: realtime"),
+                "realtime" => faults.realtime_shift_ms = value.parse().expect("FAULTS: realtime"),
                 call => faults.rules.push(Rule::parse(call, value)),
             }
         }
         faults
     }
 
-    /// The next random number below a thousand.
-    fn chance(&self) -> u64 {
-        let mut bits = self.random.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
+    /// The next random number below 1000.
+    fn random_per_mille(&self) -> u64 {
+        let mut bits = self.random_state.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
         bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         (bits ^ (bits >> 31)) % 1000
     }
 
-    /// The error that this call fails with, if it does.
+    /// The error that this call fails with, if it fails.
     fn error(&self, call: &str) -> Option<c_int> {
-        let now = self.begun.elapsed().as_millis();
-        let due =
-            self.rules.iter().filter(|rule| rule.call == call && (rule.from_ms..rule.to_ms).contains(&now));
-        due.into_iter().find(|rule| self.chance() < rule.per_mille).map(|rule| rule.errno)
+        let now_ms = self.started_at.elapsed().as_millis();
+        let mut rules = self.rules.iter().filter(|rule| rule.applies(call, now_ms));
+        rules.find(|rule| self.random_per_mille() < rule.per_mille).map(|rule| rule.errno)
     }
 
-    /// How many of so many bytes are moved.
-    fn length(&self, wanted: size_t) -> size_t {
-        if self.chance() < self.short_per_mille {
-            wanted.min((1 + self.chance() % SHORT) as size_t)
+    /// The length of a read or write that may be short.
+    fn length(&self, requested: size_t) -> size_t {
+        if self.random_per_mille() < self.short_per_mille {
+            requested.min((1 + self.random_per_mille() % MAX_SHORT_BYTES) as size_t)
         } else {
-            wanted
+            requested
         }
     }
 }
 
 impl Rule {
     fn parse(call: &str, value: &str) -> Self {
-        let (value, span) = value.split_once('@').unwrap_or((value, "0-1000000000"));
+        let (value, period) = value.split_once('@').unwrap_or((value, ALWAYS));
         let (errno, per_mille) = value.split_once('/').expect("FAULTS: ERRNO/PER_MILLE");
-        let (from, to) = span.split_once('-').expect("FAULTS: @FROM-TO");
-        let errno = match errno {
-            "EADDRNOTAVAIL" => libc::EADDRNOTAVAIL,
-            "ECONNABORTED" => libc::ECONNABORTED,
-            "EINTR" => libc::EINTR,
-            "EMFILE" => libc::EMFILE,
-            "ENETUNREACH" => libc::ENETUNREACH,
-            "ENFILE" => libc::ENFILE,
-            "ENOBUFS" => libc::ENOBUFS,
-            "ENOMEM" => libc::ENOMEM,
-            "EPROTO" => libc::EPROTO,
-            other => panic!("FAULTS: unknown error {other}"),
-        };
-        let number = |text: &str| text.parse::<u128>().expect("FAULTS: a number");
-        let per_mille = per_mille.parse().expect("FAULTS: PER_MILLE");
-        Self { call: call.to_owned(), errno, per_mille, from_ms: number(from), to_ms: number(to) }
+        let (from, to) = period.split_once('-').expect("FAULTS: @FROM-TO");
+        let millis = |text: &str| text.parse::<u128>().expect("FAULTS: a number");
+        Self {
+            call: call.to_owned(),
+            errno: errno_of(errno),
+            per_mille: per_mille.parse().expect("FAULTS: PER_MILLE"),
+            from_ms: millis(from),
+            to_ms: millis(to),
+        }
+    }
+
+    fn applies(&self, call: &str, now_ms: u128) -> bool {
+        self.call == call && (self.from_ms..self.to_ms).contains(&now_ms)
+    }
+}
+
+fn errno_of(name: &str) -> c_int {
+    match name {
+        "EADDRNOTAVAIL" => libc::EADDRNOTAVAIL,
+        "ECONNABORTED" => libc::ECONNABORTED,
+        "EINTR" => libc::EINTR,
+        "EMFILE" => libc::EMFILE,
+        "ENETUNREACH" => libc::ENETUNREACH,
+        "ENFILE" => libc::ENFILE,
+        "ENOBUFS" => libc::ENOBUFS,
+        "ENOMEM" => libc::ENOMEM,
+        "EPROTO" => libc::EPROTO,
+        other => panic!("FAULTS: unknown error {other}"),
     }
 }
 
@@ -110,40 +131,40 @@
     FAULTS.get_or_init(|| Faults::parse(&std::env::var("FAULTS").unwrap_or_default()))
 }
 
-/// Whether this call fails; sets `errno` if so. `fd` is what it is made on.
+/// Whether this call on `fd` fails; sets `errno` if it does.
 fn fails(call: &str, fd: c_int) -> bool {
     let error = if fd > libc::STDERR_FILENO { faults().error(call) } else { None };
-    // SAFETY: `errno` of this thread is always there.
+    // SAFETY: `__errno_location` returns a valid pointer to the `errno` of this thread.
     error.map(|errno| unsafe { *libc::__errno_location() = errno }).is_some()
 }
 
-/// The next definition of a symbol, behind this library's own.
-fn next(name: &CStr) -> usize {
+/// The address of the next definition of a symbol, after the one of this library.
+fn next_symbol(name: &CStr) -> usize {
     // SAFETY: the name ends with a nul.
-    let found = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
-    assert!(!found.is_null(), "{name:?} is not defined");
-    found as usize
+    let address = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
+    assert!(!address.is_null(), "{name:?} is not defined");
+    address as usize
 }
 
-/// Calls the C library's own function of a name and type.
+/// Calls the C library's function of a name and type.
 macro_rules! real {
     ($name:literal as $kind:ty, $($argument:expr),*) => {{
         static REAL: OnceLock<usize> = OnceLock::new();
         // SAFETY: the symbol of this name has this type, and the arguments are those of the caller.
-        unsafe { transmute::<usize, $kind>(*REAL.get_or_init(|| next($name)))($($argument),*) }
+        unsafe { transmute::<usize, $kind>(*REAL.get_or_init(|| next_symbol($name)))($($argument),*) }
     }};
 }
 
 type Receive = unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t;
-type Send = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
+type Transmit = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
 type WriteVectored = unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t;
 type Socket = unsafe extern "C" fn(c_int, c_int, c_int) -> c_int;
 type Accept = unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int;
 type Connect = unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int;
 type SetOption = unsafe extern "C" fn(c_int, c_int, c_int, *const c_void, socklen_t) -> c_int;
-type Control = unsafe extern "C" fn(c_int, c_int, c_int, *mut epoll_event) -> c_int;
-type Wait = unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int;
-type Time = unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int;
+type EpollControl = unsafe extern "C" fn(c_int, c_int, c_int, *mut epoll_event) -> c_int;
+type EpollWait = unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int;
+type GetTime = unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int;
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn recv(fd: c_int, bytes: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
@@ -158,7 +179,7 @@
     if fails("send", fd) {
         return -1;
     }
-    real!(c"send" as Send, fd, bytes, faults().length(length), flags)
+    real!(c"send" as Transmit, fd, bytes, faults().length(length), flags)
 }
 
 #[unsafe(no_mangle)]
@@ -167,11 +188,11 @@
         return -1;
     }
     if fd > libc::STDERR_FILENO && count > 0 {
-        // SAFETY: the caller hands in `count` parts.
+        // SAFETY: the caller passes `count` valid parts, of which there is at least one.
         let first = unsafe { *parts };
         let length = faults().length(first.iov_len);
         if length < first.iov_len {
-            return real!(c"send" as Send, fd, first.iov_base, length, libc::MSG_NOSIGNAL);
+            return real!(c"send" as Transmit, fd, first.iov_base, length, libc::MSG_NOSIGNAL);
         }
     }
     real!(c"writev" as WriteVectored, fd, parts, count)
@@ -179,6 +200,7 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
+    // The call has no descriptor yet, so any that is not a standard stream stands for it.
     if domain == libc::AF_INET && fails("socket", c_int::MAX) {
         return -1;
     }
@@ -216,30 +238,30 @@
     if action == libc::EPOLL_CTL_ADD && fails("epoll_ctl", fd) {
         return -1;
     }
-    real!(c"epoll_ctl" as Control, epoll, action, fd, event)
+    real!(c"epoll_ctl" as EpollControl, epoll, action, fd, event)
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn epoll_wait(
-    epoll: c_int, events: *mut epoll_event, most: c_int, timeout: c_int,
+    epoll: c_int, events: *mut epoll_event, max_events: c_int, timeout: c_int,
 ) -> c_int {
     if fails("epoll_wait", epoll) {
         return -1;
     }
-    real!(c"epoll_wait" as Wait, epoll, events, most, timeout)
+    real!(c"epoll_wait" as EpollWait, epoll, events, max_events, timeout)
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    let result = real!(c"clock_gettime" as Time, clock, time);
+    let result = real!(c"clock_gettime" as GetTime, clock, time);
     if clock == libc::CLOCK_REALTIME && result == 0 {
-        // SAFETY: the call has filled it in.
+        // SAFETY: the call succeeded, so the pointer is valid and its target initialized.
         let time = unsafe { &mut *time };
-        let nanos = i128::from(time.tv_sec) * NANOS
+        let nanos = i128::from(time.tv_sec) * NANOS_PER_SECOND
             + i128::from(time.tv_nsec)
-            + i128::from(faults().realtime_ms) * (NANOS / 1000);
-        time.tv_sec = nanos.div_euclid(NANOS) as i64;
-        time.tv_nsec = nanos.rem_euclid(NANOS) as i64;
+            + i128::from(faults().realtime_shift_ms) * NANOS_PER_MILLI;
+        time.tv_sec = nanos.div_euclid(NANOS_PER_SECOND) as i64;
+        time.tv_nsec = nanos.rem_euclid(NANOS_PER_SECOND) as i64;
     }
     result
 }
