--- a/fleet/src/endpoints.rs
+++ b/fleet/src/endpoints.rs
@@ -66,7 +66,7 @@
 
     /// How many gateways ever sent to it.
     pub(crate) fn sender_count(&self) -> u32 {
-        self.senders.iter().map(|word| word.count_ones()).sum()
+        self.senders.iter().map(|bits| bits.count_ones()).sum()
     }
 
     /// Whether it was ready from the start of the simulation to its end.
--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -13,7 +13,7 @@
 /// A model of a fleet of gateways: what each role costs, and how a complete fleet performs.
 ///
 /// The gateways' policy engine and endpoint list code are real; clients, counter, discovery, network and
-/// endpoints are modelled, in virtual time. Logs go to standard error.
+/// endpoints are modelled, in virtual time. Logs are written to standard error.
 #[derive(Parser)]
 #[command(name = "ryefront-fleet", version)]
 struct Cli {
@@ -29,7 +29,7 @@
     /// core, and a line or a logarithm is fitted through the points and evaluated at the target (26,000
     /// endpoints, 300,000 tenants, 15,000 routes). The number of gateways is proportional to the endpoints as
     /// at the target (3,100 to 26,000), and at least 300. A route is a request class of the settings. Bytes
-    /// are the growth of resident memory of a process of its own for each size. Run it from a release build
+    /// are the growth of resident memory of a separate process for each size. Run it from a release build
     /// on a machine that is not busy.
     Slopes {
         /// Print an array of objects (name, unit, points, at_target and more) instead of the table.
@@ -38,9 +38,9 @@
     },
     /// Simulate an experiment and print its result.
     ///
-    /// The summary goes to standard output. The same file and seed give the same result, byte for byte. The
-    /// status is 0 if all invariants held, 1 if one was violated (standard error says which), 2 if the file
-    /// cannot be used.
+    /// The summary is written to standard output. The same file and seed give the same result, byte for byte.
+    /// The status is 0 if all invariants held, 1 if one was violated (standard error says which), 2 if the
+    /// file cannot be used.
     ///
     /// Try: ryefront-fleet run fleet/experiments/calm-300.toml --gateways 30
     Run {
--- a/fleet/src/report/metrics.rs
+++ b/fleet/src/report/metrics.rs
@@ -46,37 +46,37 @@
 /// are left out unless the documentation says otherwise.
 pub(crate) struct Metrics {
     /// With those of the warm-up.
-    pub(crate) offered_with_warm_up: u64,
-    pub(crate) offered: u64,
-    pub(crate) first_attempts: u64,
-    pub(crate) served: u64,
-    pub(crate) late: u64,
-    pub(crate) over_quota: u64,
+    pub(super) offered_with_warm_up: u64,
+    pub(super) offered: u64,
+    pub(super) first_attempts: u64,
+    pub(super) served: u64,
+    pub(super) late: u64,
+    pub(super) over_quota: u64,
     rejected: [u64; REJECTION_REASONS],
     /// Rejected while over half of the tenant's burst was left.
-    pub(crate) rejected_with_quota_left: u64,
-    pub(crate) timed_out: u64,
-    pub(crate) failed: u64,
-    pub(crate) client_disconnected: u64,
+    pub(super) rejected_with_quota_left: u64,
+    pub(super) timed_out: u64,
+    pub(super) failed: u64,
+    pub(super) client_disconnected: u64,
     /// Not answered by the client's deadline.
-    pub(crate) unanswered: u64,
-    pub(crate) open_at_end: u64,
-    pub(crate) forwarded: u64,
+    pub(super) unanswered: u64,
+    pub(super) open_at_end: u64,
+    pub(super) forwarded: u64,
     forwarded_ended: u64,
-    pub(crate) handshakes: u64,
+    pub(super) handshakes: u64,
     /// Forwarded to another zone, of the same region or another.
-    pub(crate) cross_zone: u64,
-    pub(crate) cross_region: u64,
+    pub(super) cross_zone: u64,
+    pub(super) cross_region: u64,
     /// Answers to requests that had one, with those of the warm-up.
-    pub(crate) duplicate_answers: u64,
+    pub(super) duplicate_answers: u64,
     /// Actions that a host cannot perform, with those of the warm-up.
-    pub(crate) invalid_actions: u64,
+    pub(super) invalid_actions: u64,
     /// Forwarded to a draining endpoint after its grace, with those of the warm-up.
-    pub(crate) sent_after_drain: u64,
+    pub(super) sent_after_drain: u64,
     /// The largest difference in any audit.
-    pub(crate) unaccounted: u64,
-    pub(crate) added: Histogram<u64>,
-    pub(crate) latency: Histogram<u64>,
+    pub(super) unaccounted: u64,
+    pub(super) added: Histogram<u64>,
+    pub(super) latency: Histogram<u64>,
 }
 
 impl Metrics {
@@ -132,6 +132,19 @@
         self.client_disconnected += 1;
     }
 
+    /// Records that the deadline of a client attempt passed without an answer.
+    pub(crate) fn record_unanswered(&mut self) {
+        self.unanswered += 1;
+    }
+
+    pub(crate) fn record_invalid_action(&mut self) {
+        self.invalid_actions += 1;
+    }
+
+    pub(crate) fn record_sent_after_drain(&mut self) {
+        self.sent_after_drain += 1;
+    }
+
     pub(crate) fn record_duplicate_answer(&mut self) {
         self.duplicate_answers += 1;
     }
@@ -168,6 +181,12 @@
         self.rejected.iter().sum()
     }
 
+    /// Audits the end of the simulation, at which nothing may be open.
+    pub(crate) fn finish(&mut self, open: &OpenAttempts) {
+        self.audit(open);
+        self.open_at_end = open.total;
+    }
+
     /// Compares what was offered and forwarded with what has ended and what is open.
     pub(crate) fn audit(&mut self, open: &OpenAttempts) {
         let failed = self.failed + self.timed_out;
--- a/fleet/src/simulation.rs
+++ b/fleet/src/simulation.rs
@@ -130,9 +130,7 @@
                 event => self.handle(event)?,
             }
         }
-        let open = self.requests.attempts.counted();
-        self.metrics.audit(&open);
-        self.metrics.open_at_end = open.total;
+        self.metrics.finish(&self.requests.attempts.counted());
         Ok(())
     }
 
@@ -205,7 +203,7 @@
             Action::CancelAttempt { .. }
             | Action::HealthCheck { .. }
             | Action::Gossip { .. }
-            | Action::WatchEndpoints => self.metrics.invalid_actions += 1,
+            | Action::WatchEndpoints => self.metrics.record_invalid_action(),
         }
     }
 
@@ -214,15 +212,15 @@
         let attempt = self.requests.attempts.get(id).filter(|attempt| attempt.in_flight.is_none());
         let (Some(endpoint), Some(_)) = (endpoint, attempt) else {
             // A real gateway reports such an attempt as not sent; here it is a fault of the policy.
-            self.metrics.invalid_actions += 1;
-            return;
+            return self.metrics.record_invalid_action();
         };
         let endpoint = endpoint as u32;
         self.endpoints.record_attempt(endpoint, gateway, self.now);
         let process = &self.gateways[gateway as usize];
         let rollout = self.rollout.as_ref();
-        let after_drain = rollout.is_some_and(|r| r.is_past_drain_grace(endpoint, process, self.now));
-        self.metrics.sent_after_drain += u64::from(after_drain);
+        if rollout.is_some_and(|rollout| rollout.is_past_drain_grace(endpoint, process, self.now)) {
+            self.metrics.record_sent_after_drain();
+        }
         let route = Route {
             from: self.gateways[gateway as usize].zone(),
             to: self.endpoints.get(endpoint).zone(),
@@ -277,8 +275,9 @@
             self.attempt_ended(id, Outcome::TimedOut, None);
         }
         // The gateway must have answered by now; if it has not, the client disconnects.
-        self.metrics.unanswered +=
-            u64::from(self.requests.attempts.get(id).is_some_and(|a| a.request.counted));
+        if self.requests.attempts.get(id).is_some_and(|attempt| attempt.request.counted) {
+            self.metrics.record_unanswered();
+        }
         self.client_disconnected(id);
     }
 
