--- a/fleet/src/connection.rs
+++ b/fleet/src/connection.rs
@@ -2,7 +2,6 @@
 
 use crate::experiment;
 use crate::network::Network;
-use crate::report::ForwardedAttempt;
 use crate::time::{self, Micros};
 use ryefront_policy::Outcome;
 use std::collections::HashMap;
@@ -24,7 +23,10 @@
     pub(crate) handshake: Micros,
     /// Work of the handshake at the endpoint, µs.
     pub(crate) handshake_work: f64,
-    pub(crate) forwarded: ForwardedAttempt,
+    /// Whether it was opened for the attempt.
+    pub(crate) is_new: bool,
+    pub(crate) crosses_zones: bool,
+    pub(crate) crosses_regions: bool,
 }
 
 /// The idle connections of a gateway.
@@ -47,18 +49,16 @@
         &mut self, route: &Route, settings: &experiment::Endpoints, network: &mut Network, now: Micros,
     ) -> Connection {
         let idle_timeout = time::from_s(settings.idle_timeout_s);
-        let new_connection = !self.acquire(route.endpoint, now, idle_timeout);
+        let is_new = !self.acquire(route.endpoint, now, idle_timeout);
         let delay = network.network_delay(route.from, route.to);
         let round_trips = u64::from(settings.handshake_round_trips);
         Connection {
             delay,
-            handshake: if new_connection { delay * 2 * round_trips } else { 0 },
-            handshake_work: if new_connection { settings.handshake_work_ms * 1000.0 } else { 0.0 },
-            forwarded: ForwardedAttempt {
-                new_connection,
-                crosses_zones: route.from != route.to,
-                crosses_regions: !network.same_region(route.from, route.to),
-            },
+            handshake: if is_new { delay * 2 * round_trips } else { 0 },
+            handshake_work: if is_new { settings.handshake_work_ms * 1000.0 } else { 0.0 },
+            is_new,
+            crosses_zones: route.from != route.to,
+            crosses_regions: !network.same_region(route.from, route.to),
         }
     }
 
--- a/fleet/src/experiment/validate.rs
+++ b/fleet/src/experiment/validate.rs
@@ -1,9 +1,9 @@
 //! The ranges of an experiment's figures. Each table checks its own; the first figure out of range is
 //! reported.
 
-use super::{
-    Class, Counter, Discovery, Endpoints, Experiment, Fleet, Interval, Load, Network, Plan, Problem, Range,
-    Rollout,
+use super::error::{Problem, Range};
+use super::file::{
+    Class, Counter, Discovery, Endpoints, Experiment, Fleet, Interval, Load, Network, Plan, Rollout,
 };
 
 const POSITIVE: f64 = Range::POSITIVE;
--- a/fleet/src/report/metrics.rs
+++ b/fleet/src/report/metrics.rs
@@ -1,6 +1,7 @@
 //! What is counted during a simulation. Times are in µs.
 
 use crate::attempts::OpenAttempts;
+use crate::connection::Connection;
 use crate::tenants::QuotaCheck;
 use crate::time::Micros;
 use hdrhistogram::Histogram;
@@ -35,13 +36,6 @@
     pub(crate) quota_check: Option<QuotaCheck>,
 }
 
-/// An attempt that a gateway forwarded.
-pub(crate) struct ForwardedAttempt {
-    pub(crate) new_connection: bool,
-    pub(crate) crosses_zones: bool,
-    pub(crate) crosses_regions: bool,
-}
-
 /// Counts of client attempts (`offered` and how they ended) and of forwarded attempts. Those of the warm-up
 /// are left out unless the documentation says otherwise.
 pub(crate) struct Metrics {
@@ -162,11 +156,12 @@
         self.rejected_with_quota_left += u64::from(quota_left);
     }
 
-    pub(crate) fn record_forwarded(&mut self, attempt: &ForwardedAttempt) {
+    /// Records that a gateway forwarded an attempt over a connection.
+    pub(crate) fn record_forwarded(&mut self, connection: &Connection) {
         self.forwarded += 1;
-        self.handshakes += u64::from(attempt.new_connection);
-        self.cross_zone += u64::from(attempt.crosses_zones);
-        self.cross_region += u64::from(attempt.crosses_regions);
+        self.handshakes += u64::from(connection.is_new);
+        self.cross_zone += u64::from(connection.crosses_zones);
+        self.cross_region += u64::from(connection.crosses_regions);
     }
 
     pub(crate) fn record_forwarded_ended(&mut self) {
--- a/fleet/src/report/mod.rs
+++ b/fleet/src/report/mod.rs
@@ -9,7 +9,7 @@
 
 pub use invariants::Invariant;
 pub(crate) use invariants::worst_quota_usage;
-pub(crate) use metrics::{ForwardedAttempt, Metrics, RejectionReason, ServedAttempt};
+pub(crate) use metrics::{Metrics, RejectionReason, ServedAttempt};
 pub(crate) use result::ReportInput;
 pub use result::{
     CounterCalls, EndpointLists, Failures, Percentiles, Rejections, Report, SimulatedScale, SlowStartLoad,
--- a/fleet/src/simulation.rs
+++ b/fleet/src/simulation.rs
@@ -232,7 +232,7 @@
         let handshake = connection.handshake;
         let in_flight = attempt.forward(endpoint, endpoint_name, handshake, self.now);
         if attempt.request.counted {
-            self.metrics.record_forwarded(&connection.forwarded);
+            self.metrics.record_forwarded(&connection);
         }
         let work = attempt.request.work + connection.handshake_work;
         let job = Job { id, attempt: in_flight, gateway, work };
--- a/fleet/src/slopes/list_watch.rs
+++ b/fleet/src/slopes/list_watch.rs
@@ -1,6 +1,6 @@
 //! A complete endpoint list over a loopback socket, through the gateway's real watch.
 
-use super::SlopesError;
+use super::error::SlopesError;
 use super::subject::{IDLE_TIMEOUT, gateway_count, settings, snapshot};
 use crate::endpoint_list::Registry;
 use ryefront_gateway::discovery::backoff::Pace;
--- a/fleet/src/slopes/measure.rs
+++ b/fleet/src/slopes/measure.rs
@@ -1,6 +1,6 @@
 //! Which figures are measured, at which sizes, and what is required of them.
 
-use super::SlopesError;
+use super::error::SlopesError;
 use super::fit::{Dimension, Point, Slope};
 use super::list_watch::is_list_read;
 use super::memory::MemoryLoad;
--- a/fleet/src/slopes/memory.rs
+++ b/fleet/src/slopes/memory.rs
@@ -1,6 +1,6 @@
 //! The growth of this process's resident memory.
 
-use super::SlopesError;
+use super::error::SlopesError;
 use super::subject::{Subject, gateway_count, snapshot};
 use std::io;
 
--- a/fleet/src/slopes/subject.rs
+++ b/fleet/src/slopes/subject.rs
@@ -1,7 +1,7 @@
 //! The code that is measured: a policy engine and an endpoint registry, with a clock and a counter of their
 //! own.
 
-use super::SlopesError;
+use super::error::SlopesError;
 use crate::discovery::{ListEntry, ListKind, list_text};
 use crate::endpoint_list::{EndpointList, ListError, Registry};
 use ryefront_policy::{
