--- a/fleet/src/slopes/subject.rs
+++ b/fleet/src/slopes/subject.rs
@@ -1,7 +1,8 @@
-//! The code that is measured: a policy engine and an endpoint registry, with a clock and a counter of their
-//! own.
+//! The code that is measured: a policy engine and an endpoint registry, with a private clock and
+//! counter.
 
 use super::error::SlopesError;
+use super::fit::Dimension;
 use crate::discovery::{ListEntry, ListKind, list_text};
 use crate::endpoint_list::{EndpointList, ListError, Registry};
 use ryefront_policy::{
@@ -13,7 +14,6 @@
 
 /// Gateways at the target.
 const TARGET_GATEWAYS: u32 = 3_100;
-const TARGET_ENDPOINTS: usize = 26_000;
 /// The fewest gateways of any size.
 pub(super) const MIN_GATEWAYS: u32 = 300;
 /// The time between two requests at one gateway, of 490,000 requests per second over 3,100 gateways.
@@ -21,7 +21,7 @@
 /// The token of the policy engine's maintenance timer.
 const MAINTENANCE_TOKEN: u64 = 1;
 /// Endpoints that one delta changes.
-pub(super) const DELTA_SIZE: usize = 10;
+const DELTA_SIZE: usize = 10;
 /// Between the endpoints that a delta changes, so that they belong to different cells and zones.
 const DELTA_STRIDE: usize = 7;
 const ZONES: u32 = 6;
@@ -32,7 +32,8 @@
 
 /// The number of gateways for so many endpoints: in proportion to the target.
 pub(super) fn gateway_count(endpoints: usize) -> u32 {
-    let proportional = endpoints as f64 * f64::from(TARGET_GATEWAYS) / TARGET_ENDPOINTS as f64;
+    let target_endpoints = Dimension::Endpoints.target() as f64;
+    let proportional = endpoints as f64 * f64::from(TARGET_GATEWAYS) / target_endpoints;
     MIN_GATEWAYS.max(proportional as u32)
 }
 
