--- /dev/null
+++ b/fleet/src/slopes/mod.rs
@@ -0,0 +1,26 @@
+//! What one unit of each role costs, in time and in bytes, by the size of the fleet: the real code alone,
+//! with nothing modelled around it. A line or a logarithm is fitted through the points and evaluated at the
+//! target size.
+//!
+//! - `measure`: which figures are measured, and what is required of them.
+//! - `subject`: the gateway code that is measured.
+//! - `list_watch`: an endpoint list over a loopback socket.
+//! - `memory`: the growth of a process.
+//! - `fit`: the fitted line; `table`: the output.
+//!
+//! Times are medians by the steady clock. Bytes are the growth of the process's resident memory, in a process
+//! of its own for each size, so that memory freed before is not reused.
+
+mod error;
+mod fit;
+mod list_watch;
+mod measure;
+mod memory;
+mod subject;
+mod table;
+
+pub use error::SlopesError;
+pub use fit::{Dimension, Fit, Point, Requirement, Slope};
+pub use measure::{MemoryProbe, Sizes, measure};
+pub use memory::{MemoryLoad, measure_memory};
+pub use table::{json, table};
