--- a/gateway/src/headers.rs
+++ b/gateway/src/headers.rs
@@ -38,3 +38,6 @@
 pub const LOAD_REPORT_PATH: &str = "/metrics/load";
 /// The endpoint list, at the discovery service.
 pub const ENDPOINT_LIST_PATH: &str = "/discovery/hosts";
+
+/// The bytes that end the head of an HTTP/1.1 message.
+pub const HEAD_END: &[u8] = b"\r\n\r\n";
--- a/gateway/src/http_connection.rs
+++ b/gateway/src/http_connection.rs
@@ -1,6 +1,7 @@
 //! One HTTP/1.1 connection to a server. Whoever uses it drives it: it does nothing by itself, sends nothing
 //! twice, and is closed for certain the moment it is dropped.
 
+use crate::headers::HEAD_END;
 use crate::socket::{ConnectError, Socket, connect};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -39,7 +40,6 @@
 
 /// How the head of an answer 1xx begins.
 const INTERIM: &[u8] = b"HTTP/1.1 1";
-const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// What the socket has seen of the present exchange.
 #[derive(Default)]
