--- /dev/null
+++ b/gateway/src/client/handler.rs
@@ -0,0 +1,141 @@
+//! Answers the requests of all client connections: readiness, or one final answer for each valid request.
+
+use crate::client::connection_state::ConnectionState;
+use crate::client::connection_table::ConnectionTable;
+use crate::client::request::{ParsedRequest, RequestError, RequestParser};
+use crate::client::response::{self, FinalAnswers, HttpResponse};
+use crate::client::shutdown::Shutdown;
+use crate::engine::Engine;
+use crate::headers::READINESS_PATH;
+use hyper::Request;
+use hyper::body::Incoming;
+use hyper::header::{CONNECTION, HeaderValue, TRANSFER_ENCODING};
+use ryefront_policy::Settings;
+use std::cell::RefCell;
+use std::collections::HashSet;
+use std::rc::Rc;
+
+/// Answers requests.
+pub(super) struct RequestHandler {
+    parser: RequestParser,
+    final_answers: FinalAnswers,
+    connections: Rc<ConnectionTable>,
+    shutdown: Rc<Shutdown>,
+    /// The ids of all requests in progress.
+    ids_in_progress: RefCell<HashSet<HeaderValue>>,
+}
+
+/// Whether a connection carries further requests after a response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Persistence {
+    KeepAlive,
+    Close,
+}
+
+impl RequestHandler {
+    pub(super) fn new(
+        engine: Rc<Engine>, settings: &Settings, connections: Rc<ConnectionTable>, shutdown: Rc<Shutdown>,
+    ) -> Self {
+        Self {
+            parser: RequestParser::new(settings),
+            final_answers: FinalAnswers::new(engine, shutdown.clone()),
+            connections,
+            shutdown,
+            ids_in_progress: RefCell::default(),
+        }
+    }
+
+    /// Returns the one response to a request.
+    pub(super) async fn handle(
+        &self, request: Request<Incoming>, connection: &ConnectionState,
+    ) -> HttpResponse {
+        let has_transfer_encoding = request.headers().contains_key(TRANSFER_ENCODING);
+        let (mut response, persistence) = self.respond(request, connection).await;
+        // A draining or full gateway closes connections so that clients use another one, or leave capacity to others.
+        if persistence == Persistence::Close
+            || has_transfer_encoding
+            || self.shutdown.is_draining()
+            || self.connections.is_full()
+        {
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        }
+        connection.record_response();
+        response
+    }
+
+    async fn respond(
+        &self, request: Request<Incoming>, connection: &ConnectionState,
+    ) -> (HttpResponse, Persistence) {
+        if request.uri().path() == READINESS_PATH {
+            let response = response::readiness(request.method(), self.shutdown.is_draining());
+            return (response, Persistence::KeepAlive);
+        }
+        let (request, _id_in_progress) = match self.receive(request, connection).await {
+            Ok(received) => received,
+            // The client may have meant something else by the bytes that follow.
+            Err(error) => return (response::invalid_request(error), Persistence::Close),
+        };
+        connection.record_request();
+        match self.answer_while_connected(request, connection).await {
+            Some(response) => (response, Persistence::KeepAlive),
+            None => (response::client_disconnected(), Persistence::Close),
+        }
+    }
+
+    /// Reads and validates a request, and reserves its id.
+    async fn receive(
+        &self, request: Request<Incoming>, connection: &ConnectionState,
+    ) -> Result<(ParsedRequest, IdInProgress<'_>), RequestError> {
+        // Another request could be hidden in the body of this one.
+        if request.headers().contains_key(TRANSFER_ENCODING) && !connection.is_plainly_chunked(&request) {
+            return Err(RequestError::AmbiguousLength);
+        }
+        let request = self.parser.parse(request).await?;
+        let id = self.reserve_id(request.message.id.clone())?;
+        Ok((request, id))
+    }
+
+    /// Reserves an id until its request has its final answer: a second request with the same id could get the
+    /// answer of the first.
+    fn reserve_id(&self, id: HeaderValue) -> Result<IdInProgress<'_>, RequestError> {
+        if self.ids_in_progress.borrow_mut().insert(id.clone()) {
+            Ok(IdInProgress { ids: &self.ids_in_progress, id })
+        } else {
+            Err(RequestError::IdInProgress)
+        }
+    }
+
+    /// Returns the final answer, or `None` once the client has disconnected.
+    ///
+    /// The HTTP library does not notice a disconnect behind bytes that the client sent after its request, so the
+    /// socket is watched. It is also checked before the request is submitted: clients that send many requests and
+    /// disconnect at once would delay others until each disconnect is noticed.
+    async fn answer_while_connected(
+        &self, request: ParsedRequest, connection: &ConnectionState,
+    ) -> Option<HttpResponse> {
+        let socket = connection.socket();
+        let answered = async {
+            if socket.has_left().await {
+                return None;
+            }
+            Some(self.final_answers.answer(request, socket.clone()).await)
+        };
+        tokio::select! {
+            biased;
+            () = socket.left() => None,
+            response = answered => response,
+        }
+    }
+}
+
+/// Keeps an id among those in progress until it is dropped.
+struct IdInProgress<'a> {
+    ids: &'a RefCell<HashSet<HeaderValue>>,
+    id: HeaderValue,
+}
+
+impl Drop for IdInProgress<'_> {
+    fn drop(&mut self) {
+        self.ids.borrow_mut().remove(&self.id);
+    }
+}
--- /dev/null
+++ b/gateway/src/client/listener.rs
@@ -0,0 +1,65 @@
+//! Accepts client connections: while the gateway serves, and the last ones when it shuts down.
+
+use crate::client::connection_table::ConnectionTable;
+use crate::socket::is_local;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::{Instant, sleep};
+
+/// The pause before a failed accept is repeated: descriptors may have run out.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
+
+/// The listening socket for clients, within the limit on connections.
+pub(super) struct ClientListener {
+    listener: TcpListener,
+    connections: Rc<ConnectionTable>,
+}
+
+impl ClientListener {
+    pub(super) fn new(listener: TcpListener, connections: Rc<ConnectionTable>) -> Self {
+        Self { listener, connections }
+    }
+
+    /// Accepts the next connection once the limit on connections admits one.
+    ///
+    /// Until then the connection waits in the kernel's accept queue, where it uses no descriptor of this process.
+    pub(super) async fn accept(&self) -> TcpStream {
+        loop {
+            self.connections.wait_for_capacity().await;
+            match self.listener.accept().await {
+                Ok((stream, _)) => return stream,
+                // Only this connection failed: the next one in the queue may be accepted at once.
+                Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
+                Err(_) => sleep(ACCEPT_RETRY_PAUSE).await,
+            }
+        }
+    }
+
+    /// Accepts every connection in the kernel's accept queue, passes each to `serve` and closes the listener. Gives
+    /// up after `limit` if the queue cannot be read.
+    ///
+    /// The kernel has completed these connections, so clients may have sent requests on them; closing the listener
+    /// resets those that are left. The queue is read without the event loop, which may not have noticed the newest
+    /// connections yet. A failed call does not end the loop, as the connections behind it would be lost.
+    pub(super) async fn drain_accept_queue(self, limit: Duration, serve: impl Fn(TcpStream)) {
+        let Ok(listener) = self.listener.into_std() else { return };
+        let deadline = Instant::now() + limit;
+        loop {
+            match listener.accept() {
+                Ok((stream, _)) => {
+                    let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
+                    if let Ok(stream) = stream {
+                        serve(stream);
+                    }
+                }
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                Err(_) if Instant::now() >= deadline => return,
+                // Descriptors may become free when connections end.
+                Err(error) if is_local(&error) => sleep(ACCEPT_RETRY_PAUSE).await,
+                Err(_) => {}
+            }
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/client/request.rs
@@ -0,0 +1,304 @@
+//! Parses and validates a client's request.
+
+use crate::endpoint::{LARGEST_BODY, Message};
+use crate::headers::{
+    CLIENT_RETRY, DEADLINE_MS, IDEMPOTENCY_KEY, PLAN, REQUEST_ID, TENANT, TERMS, TERMS_FIRST_GATEWAY,
+    TERMS_GATEWAYS, TERMS_UNITS,
+};
+use bytes::Bytes;
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
+use hyper::http::request::Parts;
+use hyper::http::uri::PathAndQuery;
+use hyper::{Method, Request, StatusCode};
+use percent_encoding::percent_decode_str;
+use ryefront_policy::{Idempotency, Name, Settings};
+use std::str::FromStr;
+use std::time::Duration;
+
+/// The longest time to a deadline; larger values are taken for errors.
+const MAX_DEADLINE_MS: u64 = 600_000;
+/// The longest request id, in bytes.
+const MAX_REQUEST_ID_BYTES: usize = 64;
+/// The hexadecimal digits of a tenant.
+const TENANT_DIGITS: usize = 16;
+/// Tenants are numbers below this.
+const TENANT_LIMIT: u64 = 1 << 33;
+
+/// Why a request is not valid.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum RequestError {
+    /// The path names no request class.
+    #[error("no such path, expected a request class as its first segment")]
+    NoPath,
+    /// The settings name no such class.
+    #[error("unknown request class")]
+    UnknownClass,
+    /// The method does not fit class or path.
+    #[error("wrong method, expected {expected}")]
+    WrongMethod {
+        /// The method that fits.
+        expected: &'static str,
+    },
+    /// A header is missing where the class needs it, has an invalid value, or must not be there.
+    #[error("invalid {header}, expected {expected}")]
+    InvalidHeader {
+        /// The header's name.
+        header: &'static str,
+        /// What is valid.
+        expected: &'static str,
+    },
+    /// A header is given several times: endpoints or proxies may use another of its values.
+    #[error("{0} is given more than once")]
+    RepeatedHeader(&'static str),
+    /// Another request with this id has no final answer yet.
+    #[error("a request with this {REQUEST_ID} is in progress")]
+    IdInProgress,
+    /// The end of the body is not certain.
+    #[error("invalid transfer-encoding, expected chunked alone and no content-length")]
+    AmbiguousLength,
+    /// A body where the method has none.
+    #[error("unexpected body")]
+    UnexpectedBody,
+    /// The body is too large.
+    #[error("the body is too large, expected at most {LARGEST_BODY} bytes")]
+    BodyTooLarge,
+    /// The body ended early or has invalid chunks.
+    #[error("the body cannot be read")]
+    UnreadableBody,
+}
+
+impl RequestError {
+    /// The status of the response.
+    pub(super) fn status(self) -> StatusCode {
+        match self {
+            Self::NoPath => StatusCode::NOT_FOUND,
+            Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            _ => StatusCode::BAD_REQUEST,
+        }
+    }
+}
+
+/// A valid request.
+pub(super) struct ParsedRequest {
+    pub(super) class: Name,
+    pub(super) plan: Name,
+    pub(super) tenant: Name,
+    pub(super) terms: Terms,
+    pub(super) client_retry: bool,
+    pub(super) time_to_deadline: Duration,
+    pub(super) message: Message,
+}
+
+/// The units of a request and the gateways that serve its tenant.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct Terms {
+    pub(super) units: f64,
+    pub(super) gateways_per_tenant: u32,
+    pub(super) first_gateway: u32,
+}
+
+/// Parses requests and checks them against the classes and plans of the settings.
+pub(super) struct RequestParser {
+    classes: Vec<ClassRule>,
+    plans: Vec<Name>,
+    max_units: f64,
+    gateway_count: u32,
+}
+
+struct ClassRule {
+    name: Name,
+    idempotency: Idempotency,
+}
+
+impl RequestParser {
+    pub(super) fn new(settings: &Settings) -> Self {
+        let rule = |class: &ryefront_policy::RequestClass| ClassRule {
+            name: class.name.clone(),
+            idempotency: class.idempotency,
+        };
+        Self {
+            classes: settings.classes.iter().map(rule).collect(),
+            plans: settings.plans.iter().map(|plan| plan.name.clone()).collect(),
+            max_units: if settings.max_units > 0.0 { settings.max_units } else { f64::MAX },
+            gateway_count: settings.gateway_count,
+        }
+    }
+
+    /// Validates the head of a request and reads its body. The timeout of the connection limits the time of both.
+    pub(super) async fn parse(&self, request: Request<Incoming>) -> Result<ParsedRequest, RequestError> {
+        let (head, body) = request.into_parts();
+        let mut parsed = self.parse_head(&head)?;
+        if body.is_end_stream() {
+            return Ok(parsed);
+        }
+        if head.method == Method::GET {
+            return Err(RequestError::UnexpectedBody);
+        }
+        parsed.message.body = read_body(body).await?;
+        Ok(parsed)
+    }
+
+    fn parse_head(&self, head: &Parts) -> Result<ParsedRequest, RequestError> {
+        let target = head.uri.path_and_query().ok_or(RequestError::NoPath)?;
+        let headers = &head.headers;
+        let class = self.class(target)?;
+        let key = idempotency_key(class.idempotency, &head.method, headers)?;
+        let id = request_id(headers)?;
+        Ok(ParsedRequest {
+            class: class.name.clone(),
+            plan: self.plan(headers)?,
+            tenant: tenant(headers)?,
+            time_to_deadline: time_to_deadline(headers)?,
+            client_retry: client_retry(headers)?,
+            terms: self.terms(headers)?,
+            message: Message {
+                method: head.method.clone(),
+                target: target.clone(),
+                id: id.clone(),
+                key: key.cloned(),
+                kind: headers.get(CONTENT_TYPE).cloned(),
+                body: Bytes::new(),
+            },
+        })
+    }
+
+    /// The class, from the first segment of the path. Names in the settings may need percent-encoding in a path.
+    fn class(&self, target: &PathAndQuery) -> Result<&ClassRule, RequestError> {
+        let segment = target.path().strip_prefix('/').and_then(|path| path.split('/').next());
+        let segment = segment.filter(|segment| !segment.is_empty()).ok_or(RequestError::NoPath)?;
+        self.classes
+            .iter()
+            .find(|class| percent_decode_str(segment).eq(class.name.bytes()))
+            .ok_or(RequestError::UnknownClass)
+    }
+
+    fn plan(&self, headers: &HeaderMap) -> Result<Name, RequestError> {
+        let invalid = RequestError::InvalidHeader { header: PLAN, expected: "a plan of the settings" };
+        let value = single(headers, PLAN)?.ok_or(invalid)?;
+        let plan = self.plans.iter().find(|plan| plan.as_bytes() == value.as_bytes());
+        plan.cloned().ok_or(invalid)
+    }
+
+    fn terms(&self, headers: &HeaderMap) -> Result<Terms, RequestError> {
+        let invalid =
+            RequestError::InvalidHeader { header: TERMS, expected: "the form units=2,spread=3,first=1" };
+        let value = text(headers, TERMS, invalid)?.ok_or(invalid)?;
+        let terms = parse_terms(value).ok_or(invalid)?;
+        // Other values could never be served, and would spoil what is known of the tenant.
+        let is_valid = terms.units > 0.0
+            && terms.units <= self.max_units
+            && (1..=self.gateway_count).contains(&terms.gateways_per_tenant)
+            && terms.first_gateway < self.gateway_count;
+        if is_valid { Ok(terms) } else { Err(invalid) }
+    }
+}
+
+/// Parses the form `units=2,spread=3,first=1`; without units it is one unit.
+fn parse_terms(value: &str) -> Option<Terms> {
+    let mut units = 1.0;
+    let mut gateways_per_tenant = None;
+    let mut first_gateway = None;
+    for pair in value.split(',') {
+        match pair.trim().split_once('=')? {
+            (TERMS_UNITS, value) => units = value.parse::<f64>().ok()?,
+            (TERMS_GATEWAYS, value) => gateways_per_tenant = Some(number(value)?),
+            (TERMS_FIRST_GATEWAY, value) => first_gateway = Some(number(value)?),
+            _ => {}
+        }
+    }
+    Some(Terms { units, gateways_per_tenant: gateways_per_tenant?, first_gateway: first_gateway? })
+}
+
+/// The idempotency key, which with the method has to fit the class.
+fn idempotency_key<'a>(
+    idempotency: Idempotency, method: &Method, headers: &'a HeaderMap,
+) -> Result<Option<&'a HeaderValue>, RequestError> {
+    let key = single(headers, IDEMPOTENCY_KEY)?;
+    let expected_method = match idempotency {
+        Idempotency::Idempotent => Method::GET,
+        Idempotency::WithKey | Idempotency::NonIdempotent => Method::POST,
+    };
+    if *method != expected_method {
+        let expected = if expected_method == Method::GET { "GET" } else { "POST" };
+        return Err(RequestError::WrongMethod { expected });
+    }
+    let (is_valid, expected) = match idempotency {
+        Idempotency::Idempotent | Idempotency::NonIdempotent => (key.is_none(), "none for this class"),
+        Idempotency::WithKey => (key.is_some_and(|key| !key.is_empty()), "a key for this class"),
+    };
+    if is_valid { Ok(key) } else { Err(RequestError::InvalidHeader { header: IDEMPOTENCY_KEY, expected }) }
+}
+
+fn request_id(headers: &HeaderMap) -> Result<&HeaderValue, RequestError> {
+    let invalid = RequestError::InvalidHeader {
+        header: REQUEST_ID,
+        expected: "1 to 64 letters, digits, '-', '_' or '.'",
+    };
+    single(headers, REQUEST_ID)?.filter(|id| is_request_id(id.as_bytes())).ok_or(invalid)
+}
+
+fn is_request_id(bytes: &[u8]) -> bool {
+    (1..=MAX_REQUEST_ID_BYTES).contains(&bytes.len())
+        && bytes.iter().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(b))
+}
+
+/// The tenant in lower case: a tenant that could change the case of its digits would have several quotas.
+fn tenant(headers: &HeaderMap) -> Result<Name, RequestError> {
+    let invalid = RequestError::InvalidHeader {
+        header: TENANT,
+        expected: "16 hexadecimal digits of a number below 2^33",
+    };
+    let value = text(headers, TENANT, invalid)?.ok_or(invalid)?;
+    let is_valid = value.len() == TENANT_DIGITS
+        && value.bytes().all(|b| b.is_ascii_hexdigit())
+        && u64::from_str_radix(value, 16).is_ok_and(|number| number < TENANT_LIMIT);
+    if is_valid { Ok(Name::from(value.to_ascii_lowercase())) } else { Err(invalid) }
+}
+
+fn time_to_deadline(headers: &HeaderMap) -> Result<Duration, RequestError> {
+    let invalid =
+        RequestError::InvalidHeader { header: DEADLINE_MS, expected: "1 to 600000, whole milliseconds" };
+    let millis = text(headers, DEADLINE_MS, invalid)?.and_then(number).ok_or(invalid)?;
+    if (1..=MAX_DEADLINE_MS).contains(&millis) { Ok(Duration::from_millis(millis)) } else { Err(invalid) }
+}
+
+fn client_retry(headers: &HeaderMap) -> Result<bool, RequestError> {
+    let invalid = RequestError::InvalidHeader { header: CLIENT_RETRY, expected: "0 or 1" };
+    match text(headers, CLIENT_RETRY, invalid)? {
+        None | Some("0") => Ok(false),
+        Some("1") => Ok(true),
+        Some(_) => Err(invalid),
+    }
+}
+
+/// The value of a header that may be given once at most.
+fn single<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a HeaderValue>, RequestError> {
+    let mut values = headers.get_all(name).iter();
+    let value = values.next();
+    if values.next().is_some() { Err(RequestError::RepeatedHeader(name)) } else { Ok(value) }
+}
+
+/// The value of such a header as text; `invalid` is the error for other bytes.
+fn text<'a>(
+    headers: &'a HeaderMap, name: &'static str, invalid: RequestError,
+) -> Result<Option<&'a str>, RequestError> {
+    single(headers, name)?.map(|value| value.to_str().map_err(|_| invalid)).transpose()
+}
+
+/// A number in digits alone, without sign or space.
+fn number<T: FromStr>(text: &str) -> Option<T> {
+    text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
+}
+
+async fn read_body(body: Incoming) -> Result<Bytes, RequestError> {
+    if body.size_hint().lower() > LARGEST_BODY as u64 {
+        return Err(RequestError::BodyTooLarge);
+    }
+    match Limited::new(body, LARGEST_BODY).collect().await {
+        Ok(body) => Ok(body.to_bytes()),
+        Err(error) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLarge),
+        Err(_) => Err(RequestError::UnreadableBody),
+    }
+}
--- /dev/null
+++ b/gateway/src/client/request_head.rs
@@ -0,0 +1,65 @@
+//! The head of the request that a client is sending, as received.
+//!
+//! The HTTP library drops a `Content-Length` that follows a `Transfer-Encoding`. A request with both could hide
+//! another in its body from a proxy that goes by the length (request smuggling), so the bytes themselves are checked.
+
+use crate::headers::HEAD_END;
+use hyper::Request;
+use hyper::body::Incoming;
+use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
+
+/// The longest request head that is read.
+pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
+
+/// The bytes of a request head, up to and with the empty line that ends it.
+#[derive(Debug, Default)]
+pub(super) struct RequestHead {
+    bytes: Vec<u8>,
+}
+
+impl RequestHead {
+    pub(super) fn is_empty(&self) -> bool {
+        self.bytes.is_empty()
+    }
+
+    pub(super) fn is_complete(&self) -> bool {
+        self.bytes.ends_with(HEAD_END)
+    }
+
+    /// Appends received bytes as far as they belong to the head.
+    pub(super) fn append(&mut self, received: &[u8]) {
+        // The end of the head may be split between two reads.
+        let search_from = self.bytes.len().saturating_sub(HEAD_END.len());
+        let free = MAX_HEAD_BYTES - self.bytes.len();
+        self.bytes.extend_from_slice(&received[..received.len().min(free)]);
+        let end = self.bytes[search_from..].windows(HEAD_END.len()).position(|w| w == HEAD_END);
+        if let Some(end) = end {
+            self.bytes.truncate(search_from + end + HEAD_END.len());
+        }
+    }
+
+    /// Whether this is the head of `request` and has `Transfer-Encoding: chunked` and no `Content-Length`.
+    pub(super) fn is_plainly_chunked(&self, request: &Request<Incoming>) -> bool {
+        self.belongs_to(request) && !self.has_content_length() && is_chunked_alone(request)
+    }
+
+    fn belongs_to(&self, request: &Request<Incoming>) -> bool {
+        let request_line = format!("{} {} HTTP/1.1\r\n", request.method(), request.uri());
+        let start = self.bytes.get(..request_line.len());
+        self.is_complete() && start.is_some_and(|s| s.eq_ignore_ascii_case(request_line.as_bytes()))
+    }
+
+    fn has_content_length(&self) -> bool {
+        let name = CONTENT_LENGTH.as_str().as_bytes();
+        let starts_with_name =
+            |line: &[u8]| line.get(..name.len()).is_some_and(|start| start.eq_ignore_ascii_case(name));
+        self.bytes.split(|b| *b == b'\n').any(starts_with_name)
+    }
+}
+
+/// Whether `chunked` is the only transfer encoding.
+fn is_chunked_alone(request: &Request<Incoming>) -> bool {
+    let mut encodings = request.headers().get_all(TRANSFER_ENCODING).iter();
+    encodings.next().is_some_and(|e| e.as_bytes().eq_ignore_ascii_case(b"chunked"))
+        && encodings.next().is_none()
+}
--- /dev/null
+++ b/gateway/src/client/response.rs
@@ -0,0 +1,166 @@
+//! The responses to clients: submits requests to the engine and words their final answers.
+
+use crate::client::request::{ParsedRequest, RequestError};
+use crate::client::shutdown::Shutdown;
+use crate::clock::millis;
+use crate::engine::{Engine, Reply};
+use crate::socket::Socket;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
+use hyper::{Method, Response, StatusCode};
+use ryefront_policy::{Arrival, Millis, RequestId};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::{Instant, timeout_at};
+
+/// A response with a complete body.
+pub(super) type HttpResponse = Response<Full<Bytes>>;
+
+/// The time between the policy's deadline and the client's, in which the response is written.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(25);
+/// The margin is at most this fraction of the time to the client's deadline.
+const DEADLINE_MARGIN_FRACTION: f64 = 0.25;
+/// A request without a final answer this long after the policy's deadline gets one without the policy.
+const FINAL_ANSWER_BACKSTOP: Duration = Duration::from_millis(10);
+
+/// The deadlines of one request.
+struct Deadlines {
+    /// The time that the policy has for the final answer.
+    time_for_policy: Duration,
+    /// When the policy's time is over.
+    policy: Instant,
+    /// When the final answer is given without the policy.
+    backstop: Instant,
+}
+
+impl Deadlines {
+    fn new(time_to_deadline: Duration) -> Self {
+        let margin = DEADLINE_MARGIN.min(time_to_deadline.mul_f64(DEADLINE_MARGIN_FRACTION));
+        let time_for_policy = time_to_deadline - margin;
+        let policy = Instant::now() + time_for_policy;
+        let backstop = policy + FINAL_ANSWER_BACKSTOP.min(margin / 2);
+        Self { time_for_policy, policy, backstop }
+    }
+}
+
+/// Gets the final answers of requests from the engine.
+pub(super) struct FinalAnswers {
+    engine: Rc<Engine>,
+    shutdown: Rc<Shutdown>,
+}
+
+impl FinalAnswers {
+    pub(super) fn new(engine: Rc<Engine>, shutdown: Rc<Shutdown>) -> Self {
+        Self { engine, shutdown }
+    }
+
+    /// Submits a request and returns its final answer, by its deadline even if the engine has none.
+    pub(super) async fn answer(&self, request: ParsedRequest, client: Socket) -> HttpResponse {
+        let deadlines = Deadlines::new(request.time_to_deadline);
+        let (id, reply) = self.submit(request, client, &deadlines);
+        let submitted = SubmittedRequest { engine: &self.engine, id };
+        let reply = tokio::select! {
+            biased;
+            reply = timeout_at(deadlines.backstop, reply) => reply.ok(),
+            () = self.shutdown.final_answers_due() => None,
+        };
+        drop(submitted);
+        match reply {
+            Some(Ok(reply)) => final_answer(reply),
+            Some(Err(_)) => failed(),
+            None => timed_out(),
+        }
+    }
+
+    fn submit(
+        &self, request: ParsedRequest, client: Socket, deadlines: &Deadlines,
+    ) -> (RequestId, oneshot::Receiver<Reply>) {
+        let ParsedRequest { class, plan, tenant, terms, client_retry, message, .. } = request;
+        let time_to_deadline = millis(deadlines.time_for_policy);
+        let arrival = |id| Arrival {
+            id,
+            tenant,
+            plan,
+            class,
+            units: terms.units,
+            client_retry,
+            time_to_deadline,
+            first_gateway: terms.first_gateway,
+            gateways_per_tenant: terms.gateways_per_tenant,
+        };
+        self.engine.open(arrival, message, client, deadlines.policy)
+    }
+}
+
+/// A request whose client waits for its final answer. Dropped before that, it reports to the engine that the client
+/// has disconnected; after it, the engine knows no such request and does nothing.
+struct SubmittedRequest<'a> {
+    engine: &'a Engine,
+    id: RequestId,
+}
+
+impl Drop for SubmittedRequest<'_> {
+    fn drop(&mut self) {
+        self.engine.client_left(self.id);
+    }
+}
+
+fn final_answer(reply: Reply) -> HttpResponse {
+    match reply {
+        Reply::Served(answer) => {
+            let mut response = Response::new(Full::new(answer.body));
+            *response.headers_mut() = answer.headers;
+            response
+        }
+        Reply::Refused(retry_after) => rejected(retry_after),
+        Reply::Failed(false) => failed(),
+        Reply::Failed(true) => timed_out(),
+    }
+}
+
+fn rejected(retry_after: Millis) -> HttpResponse {
+    let mut response = text(StatusCode::TOO_MANY_REQUESTS, "rejected, retry later");
+    let seconds = format!("{:.3}", retry_after / 1000.0);
+    if retry_after > 0.0
+        && let Ok(seconds) = HeaderValue::from_str(&seconds)
+    {
+        response.headers_mut().insert(RETRY_AFTER, seconds);
+    }
+    response
+}
+
+fn failed() -> HttpResponse {
+    text(StatusCode::BAD_GATEWAY, "failed")
+}
+
+fn timed_out() -> HttpResponse {
+    text(StatusCode::GATEWAY_TIMEOUT, "no response in time")
+}
+
+/// The response to a readiness check: whether new clients should use this gateway.
+pub(super) fn readiness(method: &Method, is_draining: bool) -> HttpResponse {
+    match *method {
+        Method::GET | Method::HEAD if is_draining => text(StatusCode::SERVICE_UNAVAILABLE, "draining"),
+        Method::GET | Method::HEAD => text(StatusCode::OK, "up"),
+        _ => invalid_request(RequestError::WrongMethod { expected: "GET or HEAD" }),
+    }
+}
+
+/// The response to a request that is not valid.
+pub(super) fn invalid_request(error: RequestError) -> HttpResponse {
+    text(error.status(), &error.to_string())
+}
+
+/// The response when the client has disconnected. It arrives where the client has only ended its sending.
+pub(super) fn client_disconnected() -> HttpResponse {
+    text(StatusCode::BAD_REQUEST, "the client disconnected before its final answer")
+}
+
+fn text(status: StatusCode, line: &str) -> HttpResponse {
+    let mut response = Response::new(Full::from(format!("{line}\n")));
+    *response.status_mut() = status;
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+    response
+}
--- /dev/null
+++ b/gateway/src/client/server.rs
@@ -0,0 +1,65 @@
+//! Joins listener, connections, request handler and shutdown into the client side of one gateway.
+
+use crate::client::connection;
+use crate::client::connection_state::ConnectionState;
+use crate::client::connection_table::ConnectionTable;
+use crate::client::handler::RequestHandler;
+use crate::client::listener::ClientListener;
+use crate::client::shutdown::Shutdown;
+use crate::engine::Engine;
+use crate::socket::Socket;
+use crate::task::spawn;
+use ryefront_policy::Settings;
+use std::pin::pin;
+use std::rc::Rc;
+use tokio::net::{TcpListener, TcpStream};
+
+/// The client side of one gateway.
+pub struct Server {
+    engine: Rc<Engine>,
+    handler: RequestHandler,
+    connections: Rc<ConnectionTable>,
+    shutdown: Rc<Shutdown>,
+}
+
+impl Server {
+    /// A server that holds at most `max_connections` client connections at once.
+    pub fn new(engine: Rc<Engine>, settings: &Settings, max_connections: usize) -> Rc<Self> {
+        let connections = Rc::new(ConnectionTable::new(max_connections));
+        let shutdown = Rc::new(Shutdown::new());
+        let handler = RequestHandler::new(engine.clone(), settings, connections.clone(), shutdown.clone());
+        Rc::new(Self { engine, handler, connections, shutdown })
+    }
+
+    /// Serves clients until `terminated` resolves, then shuts down gracefully. Returns once the last connection has
+    /// ended or the time for it is over.
+    pub async fn serve(self: Rc<Self>, listener: TcpListener, terminated: impl Future<Output = ()>) {
+        let listener = ClientListener::new(listener, self.connections.clone());
+        let mut accepting_ends = pin!(async {
+            terminated.await;
+            self.shutdown.drain_while_accepting(&self.engine).await;
+        });
+        loop {
+            tokio::select! {
+                () = accepting_ends.as_mut() => break,
+                stream = listener.accept() => self.serve_connection(stream),
+            }
+        }
+        self.shutdown.drain_accept_queue(listener, |stream| self.serve_connection(stream)).await;
+        self.shutdown.close_all_connections(&self.engine, &self.connections).await;
+    }
+
+    fn serve_connection(self: &Rc<Self>, stream: TcpStream) {
+        // Without it small writes may be delayed, which is no reason to give up the connection.
+        let _ = stream.set_nodelay(true);
+        let state = Rc::new(ConnectionState::new(Socket(Rc::new(stream))));
+        self.connections.add(state.clone());
+        let close_signal = self.shutdown.close_signal();
+        let server = self.clone();
+        spawn(async move {
+            let handle = |request| server.handler.handle(request, &state);
+            connection::serve(&state, close_signal, handle).await;
+            server.connections.remove(&state);
+        });
+    }
+}
--- /dev/null
+++ b/gateway/src/client/shutdown.rs
@@ -0,0 +1,145 @@
+//! Graceful shutdown, step by step: see [`ShutdownPhase`].
+//!
+//! The process may be killed 3.7 s after SIGTERM. Until then every request that was accepted gets its final answer, and
+//! clients stop using their connections.
+
+use crate::client::connection_table::ConnectionTable;
+use crate::client::listener::ClientListener;
+use crate::engine::Engine;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::watch;
+use tokio::time::{Instant, sleep, sleep_until, timeout};
+
+/// New connections arrive for up to this long after SIGTERM.
+pub(super) const LINGER: Duration = Duration::from_millis(500);
+/// The time for returning leases to the quotas, before the accept queue is drained.
+const LEASE_RETURN_TIME: Duration = Duration::from_millis(200);
+/// An accept queue that cannot be read is given up after this.
+const ACCEPT_QUEUE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Requests without a response get a final answer this long after SIGTERM: just before the process may be killed.
+const FINAL_ANSWERS_AFTER: Duration = Duration::from_millis(3500);
+/// Connections are given up this long after the last final answer, as clients may stop reading or sending half-way.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// How often the end of the last requests is checked while connections close.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// The phases of serving and shutdown, in order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum ShutdownPhase {
+    /// Accepts and serves.
+    Serving,
+    /// Readiness fails, and each response closes its connection; new connections are still accepted.
+    NotReady,
+    /// The connections from the phases before are closed when idle. A client whose request crosses the close sends it
+    /// again on a new connection, so these are still accepted.
+    ClosingIdleConnections,
+    /// Leased units are returned to the quotas; new connections are still accepted.
+    ReturningLeases,
+    /// The connections in the accept queue are accepted, and the listener is closed.
+    DrainingAcceptQueue,
+    /// All connections are closed when idle.
+    ClosingAllConnections,
+}
+
+/// How many times the shutdown has closed connections.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct CloseRound(u8);
+
+impl ShutdownPhase {
+    fn close_round(self) -> CloseRound {
+        match self {
+            Self::Serving | Self::NotReady => CloseRound(0),
+            Self::ClosingIdleConnections | Self::ReturningLeases | Self::DrainingAcceptQueue => CloseRound(1),
+            Self::ClosingAllConnections => CloseRound(2),
+        }
+    }
+}
+
+/// Tells one connection when the shutdown closes it.
+pub(super) struct CloseSignal {
+    phase: watch::Receiver<ShutdownPhase>,
+    round_at_open: CloseRound,
+}
+
+impl CloseSignal {
+    /// Resolves once the connection is to be closed.
+    pub(super) async fn received(&mut self) {
+        let round_at_open = self.round_at_open;
+        let closes = |phase: &ShutdownPhase| phase.close_round() > round_at_open;
+        // Dropped at once: the value locks the channel, and a phase change on this thread would wait for it forever.
+        drop(self.phase.wait_for(closes).await);
+    }
+}
+
+/// The shutdown of the client side.
+pub(super) struct Shutdown {
+    phase: watch::Sender<ShutdownPhase>,
+    /// From SIGTERM on: when requests without a response get a final answer.
+    final_answers_at: watch::Sender<Option<Instant>>,
+}
+
+impl Shutdown {
+    pub(super) fn new() -> Self {
+        Self { phase: watch::Sender::new(ShutdownPhase::Serving), final_answers_at: watch::Sender::new(None) }
+    }
+
+    /// Whether the shutdown has begun.
+    pub(super) fn is_draining(&self) -> bool {
+        *self.phase.borrow() >= ShutdownPhase::NotReady
+    }
+
+    /// The close signal for a connection that is opened now.
+    pub(super) fn close_signal(&self) -> CloseSignal {
+        let phase = self.phase.subscribe();
+        let round_at_open = phase.borrow().close_round();
+        CloseSignal { phase, round_at_open }
+    }
+
+    /// Resolves when requests without a response get a final answer, as the process may be killed.
+    pub(super) async fn final_answers_due(&self) {
+        let mut final_answers_at = self.final_answers_at.subscribe();
+        let at = final_answers_at.wait_for(Option::is_some).await.map(|at| *at);
+        match at {
+            Ok(Some(at)) => sleep_until(at).await,
+            _ => std::future::pending().await,
+        }
+    }
+
+    /// The phases in which new connections are accepted: fails readiness, lingers, closes idle connections, and
+    /// returns the leases. Runs beside the listener.
+    pub(super) async fn drain_while_accepting(&self, engine: &Engine) {
+        self.final_answers_at.send_replace(Some(Instant::now() + FINAL_ANSWERS_AFTER));
+        self.enter(ShutdownPhase::NotReady);
+        sleep(LINGER / 2).await;
+
+        self.enter(ShutdownPhase::ClosingIdleConnections);
+        sleep(LINGER / 2).await;
+
+        self.enter(ShutdownPhase::ReturningLeases);
+        engine.hand_back(LEASE_RETURN_TIME).await;
+    }
+
+    /// Serves the connections in the accept queue and closes the listener.
+    pub(super) async fn drain_accept_queue(&self, listener: ClientListener, serve: impl Fn(TcpStream)) {
+        self.enter(ShutdownPhase::DrainingAcceptQueue);
+        listener.drain_accept_queue(ACCEPT_QUEUE_TIMEOUT, serve).await;
+    }
+
+    /// Closes all connections once they are idle. Returns when they are closed, or some time after the last final
+    /// answer.
+    pub(super) async fn close_all_connections(&self, engine: &Engine, connections: &ConnectionTable) {
+        self.enter(ShutdownPhase::ClosingAllConnections);
+        let mut answered_since = Instant::now();
+        while !connections.is_empty() && answered_since.elapsed() < CLOSE_TIMEOUT {
+            let _ = timeout(CLOSE_CHECK_INTERVAL, connections.removed()).await;
+            if engine.waiting() > 0 {
+                answered_since = Instant::now();
+            }
+        }
+    }
+
+    fn enter(&self, phase: ShutdownPhase) {
+        self.phase.send_replace(phase);
+    }
+}
