--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -17,6 +17,8 @@
 pub mod headers;
 pub mod http_connection;
 pub mod log;
+pub mod reload;
 pub mod signals;
 pub mod socket;
+pub mod startup;
 pub mod task;
