--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -1,60 +1,88 @@
-//! What a gateway is told at its start: the environment and the file that `NODE_CONFIG` names.
+//! The configuration of a gateway: the environment, and the JSON file that `NODE_CONFIG` names.
 
 use crate::clock::{millis, span};
 use crate::discovery::backoff::Pace;
 use crate::discovery::{List, ListError};
-use ryefront_policy::Settings;
+use ryefront_policy::{Millis, Settings};
 use ryefront_settings::{Object, ReadError};
 use serde::Deserialize;
 use serde_json::Value;
-use std::fmt;
 use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Used where the settings name no such time.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-const ENDPOINT_IDLE: Duration = Duration::from_secs(15);
-const COUNTER_TIMEOUT: Duration = Duration::from_millis(50);
-/// Used where the configuration names no limit.
-const SOCKETS: usize = 1024;
+/// The variable that names the configuration file.
+const FILE_VARIABLE: &str = "NODE_CONFIG";
+/// The variables for values that the file may have as well.
+const NAME_VARIABLE: &str = "NODE_NAME";
+const LISTEN_VARIABLE: &str = "NODE_LISTEN";
+const DISCOVERY_VARIABLE: &str = "NODE_DISCOVERY";
+
+/// Used where the settings have no such time.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+const DEFAULT_ENDPOINT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+const DEFAULT_COUNTER_TIMEOUT: Duration = Duration::from_millis(50);
+/// Used where the configuration has no limit.
+const DEFAULT_MAX_SOCKETS: usize = 1024;
 
 /// A configuration that cannot be used.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// `NODE_CONFIG` is not set.
-    NoFile,
+    /// No file is named.
+    #[error("{FILE_VARIABLE} is not set, expected the path of the configuration file")]
+    FileNotNamed,
     /// The file cannot be read.
-    Unreadable(std::io::Error),
-    /// It is not the JSON object that it should be.
-    Malformed(serde_json::Error),
-    /// An address is missing or is none.
-    Address(&'static str),
-    /// The seed is not a number of up to 16 hex digits.
-    Seed,
-    /// The list of endpoints in it cannot be used.
-    Known(ListError),
-    /// The settings cannot be used.
-    Settings(ReadError),
+    #[error("{}: {source}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// What the system reports.
+        source: std::io::Error,
+    },
+    /// The content of the file, or a variable, cannot be used.
+    #[error("{}: {source}", path.display())]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong.
+        source: ParseError,
+    },
 }
 
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::NoFile => write!(f, "NODE_CONFIG is not set"),
-            Self::Unreadable(error) => write!(f, "NODE_CONFIG cannot be read: {error}"),
-            Self::Malformed(error) => write!(f, "NODE_CONFIG is malformed: {error}"),
-            Self::Address(which) => write!(f, "{which}: no address, or an unusable one"),
-            Self::Seed => write!(f, "seed is not a number in hex digits"),
-            Self::Known(error) => write!(f, "known: {error}"),
-            Self::Settings(error) => write!(f, "{error}"),
-        }
-    }
+/// A text that is not a usable configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum ParseError {
+    /// It is not a JSON object of the right form.
+    #[error("malformed: {0}")]
+    Malformed(#[from] serde_json::Error),
+    /// A value is missing.
+    #[error("{key} is missing, expected {expected}")]
+    Missing {
+        /// The value's key.
+        key: &'static str,
+        /// What is valid.
+        expected: &'static str,
+    },
+    /// A value is not valid.
+    #[error("{key} is {found:?}, expected {expected}")]
+    InvalidValue {
+        /// The value's key.
+        key: &'static str,
+        /// The value.
+        found: String,
+        /// What is valid.
+        expected: &'static str,
+    },
+    /// The cached endpoint list cannot be used.
+    #[error("known: {0}")]
+    CachedEndpoints(#[from] ListError),
+    /// The settings cannot be used.
+    #[error(transparent)]
+    Settings(#[from] ReadError),
 }
 
-impl std::error::Error for ConfigError {}
-
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     #[serde(default)]
     name: String,
     listen: Option<String>,
@@ -63,112 +91,136 @@
     seed: String,
     #[serde(default)]
     limits: Limits,
-    #[serde(default)]
-    known: Value,
+    #[serde(default, rename = "known")]
+    cached_endpoints: Value,
     settings: Value,
 }
 
 #[derive(Default, Deserialize)]
 struct Limits {
-    sockets: Option<usize>,
+    #[serde(rename = "sockets")]
+    max_sockets: Option<usize>,
 }
 
-/// All that a gateway is told at its start.
+/// The configuration of a gateway.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name, for the log.
+    /// The gateway's name, for the log.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where discovery is asked.
+    /// Where the discovery service is.
     pub discovery: SocketAddr,
-    /// How often discovery is asked.
-    pub pace: Pace,
+    /// How often the discovery service is polled, and for how long.
+    pub poll_timing: Pace,
     /// Where the counter is, if there is one.
     pub counter: Option<SocketAddr>,
-    /// The seed of all chance.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// The most descriptors that the process may hold.
-    pub sockets: usize,
-    /// The list of endpoints as this gateway last had it.
-    pub known: List,
-    /// A connection that takes longer has failed.
+    /// The most file descriptors that the process may hold.
+    pub max_sockets: usize,
+    /// The endpoint list as this gateway last had it.
+    pub cached_endpoints: List,
+    /// A connection to an endpoint that takes longer has failed.
     pub connect_timeout: Duration,
-    /// Endpoints close connections that stood idle for this long.
-    pub endpoint_idle: Duration,
-    /// What the decisions are made by.
+    /// Endpoints close connections that are idle for this long.
+    pub endpoint_idle_timeout: Duration,
+    /// The settings of the policy.
     pub settings: Settings,
 }
 
 impl Config {
-    /// Reads the environment and the file that it names.
+    /// Reads the configuration at the start of the program: variables take precedence over the file.
     ///
     /// # Errors
-    /// When either cannot be used.
-    pub fn from_environment() -> Result<Self, ConfigError> {
+    /// When it cannot be used.
+    pub fn load() -> Result<Self, ConfigError> {
         Self::read(|variable, file| variable.or(file))
     }
 
-    /// Reads the same again while the program runs. The environment is as old as the program, so what the file
-    /// says goes first now.
+    /// Reads the configuration while the program runs: the file takes precedence, as the variables are from the start
+    /// of the program.
     ///
     /// # Errors
-    /// When either cannot be used.
-    pub fn again() -> Result<Self, ConfigError> {
+    /// When it cannot be used.
+    pub fn reload() -> Result<Self, ConfigError> {
         Self::read(|variable, file| file.or(variable))
     }
 
-    /// Reads both; of an address that both name, `choose` takes one.
+    /// Reads variables and file; `choose` takes one of the values that both have.
     fn read(choose: impl Fn(Option<String>, Option<String>) -> Option<String>) -> Result<Self, ConfigError> {
-        let path = std::env::var_os("NODE_CONFIG").ok_or(ConfigError::NoFile)?;
-        let text = std::fs::read_to_string(path).map_err(ConfigError::Unreadable)?;
-        Self::parse(&text, |key, file| choose(std::env::var(key).ok(), file))
+        let path = std::env::var_os(FILE_VARIABLE).ok_or(ConfigError::FileNotNamed)?;
+        let path = Path::new(&path);
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| ConfigError::Unreadable { path: path.into(), source })?;
+        Self::parse(&text, |variable, file| choose(std::env::var(variable).ok(), file))
+            .map_err(|source| ConfigError::Invalid { path: path.into(), source })
     }
 
-    /// Reads the text of a configuration file. `choose` gets the name of a variable and what the file has in its
-    /// place, and tells what counts. Times that the settings do not name or name as 0 are the usual ones, for
-    /// sockets and decisions alike.
+    /// Parses the text of a configuration file. `choose` gets the name of a variable and the file's value, and returns
+    /// the value that applies. A time that the settings lack or have as 0 is the default one, for sockets and policy
+    /// alike.
     ///
     /// # Errors
     /// When it cannot be used.
     pub fn parse(
         text: &str, choose: impl Fn(&str, Option<String>) -> Option<String>,
-    ) -> Result<Self, ConfigError> {
-        let file: File = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
-        let address = |text: Option<String>, which| {
-            text.and_then(|t| t.parse::<SocketAddr>().ok()).ok_or(ConfigError::Address(which))
-        };
-        let mut settings = ryefront_settings::read(&file.settings).map_err(ConfigError::Settings)?;
-        let permissions = Object::of(&file.settings, "permissions").map_err(ConfigError::Settings)?;
-        let time = |key, usual| match permissions.number(key).map_err(ConfigError::Settings)? {
-            ms if ms > 0.0 => Ok(span(ms)),
-            _ => Ok(usual),
-        };
-        let rules = Object::of(&file.settings, "rules").map_err(ConfigError::Settings)?;
-        let grace = span(rules.number("drain-grace-ms").map_err(ConfigError::Settings)?);
-        let pace = Pace::of(!settings.polls_endpoints, grace);
-        let known = match &file.known {
-            Value::Null => List { seq: 0, whole: true, hosts: Vec::new() },
-            value => List::from_value(value).map_err(ConfigError::Known)?,
-        };
-        let connect_timeout = time("dial-timeout-ms", CONNECT_TIMEOUT)?;
+    ) -> Result<Self, ParseError> {
+        let file: ConfigFile = serde_json::from_str(text)?;
+        let mut settings = ryefront_settings::read(&file.settings)?;
+        let permissions = Object::of(&file.settings, "permissions")?;
+        let connect_timeout = duration_or(DEFAULT_CONNECT_TIMEOUT, permissions.number("dial-timeout-ms")?);
         settings.connect_timeout = millis(connect_timeout);
         if settings.counter_timeout <= 0.0 {
-            settings.counter_timeout = millis(COUNTER_TIMEOUT);
+            settings.counter_timeout = millis(DEFAULT_COUNTER_TIMEOUT);
         }
-        let counter = settings.has_counter.then(|| address(file.counter, "counter")).transpose()?;
+        let counter = settings.has_counter.then(|| address("counter", file.counter)).transpose()?;
         Ok(Self {
-            name: choose("NODE_NAME", Some(file.name)).unwrap_or_default(),
-            listen: address(choose("NODE_LISTEN", file.listen), "NODE_LISTEN")?,
-            discovery: address(choose("NODE_DISCOVERY", file.discovery), "NODE_DISCOVERY")?,
-            pace,
+            name: choose(NAME_VARIABLE, Some(file.name)).unwrap_or_default(),
+            listen: address("listen (or NODE_LISTEN)", choose(LISTEN_VARIABLE, file.listen))?,
+            discovery: address("discovery (or NODE_DISCOVERY)", choose(DISCOVERY_VARIABLE, file.discovery))?,
+            poll_timing: poll_timing(&file.settings, &settings)?,
             counter,
-            seed: u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed)?,
-            sockets: file.limits.sockets.unwrap_or(SOCKETS),
-            known,
+            seed: seed(&file.seed)?,
+            max_sockets: file.limits.max_sockets.unwrap_or(DEFAULT_MAX_SOCKETS),
+            cached_endpoints: cached_endpoints(&file.cached_endpoints)?,
             connect_timeout,
-            endpoint_idle: time("keepalive-ms", ENDPOINT_IDLE)?,
+            endpoint_idle_timeout: duration_or(
+                DEFAULT_ENDPOINT_IDLE_TIMEOUT,
+                permissions.number("keepalive-ms")?,
+            ),
             settings,
         })
     }
 }
+
+fn duration_or(default: Duration, configured: Millis) -> Duration {
+    if configured > 0.0 { span(configured) } else { default }
+}
+
+fn address(key: &'static str, text: Option<String>) -> Result<SocketAddr, ParseError> {
+    const EXPECTED: &str = "an address and port, as 127.0.0.1:8080";
+    let text = text.ok_or(ParseError::Missing { key, expected: EXPECTED })?;
+    text.parse().map_err(|_| ParseError::InvalidValue { key, found: text, expected: EXPECTED })
+}
+
+fn seed(text: &str) -> Result<u64, ParseError> {
+    u64::from_str_radix(text, 16).map_err(|_| ParseError::InvalidValue {
+        key: "seed",
+        found: text.to_owned(),
+        expected: "up to 16 hexadecimal digits",
+    })
+}
+
+fn cached_endpoints(value: &Value) -> Result<List, ParseError> {
+    match value {
+        Value::Null => Ok(List { seq: 0, whole: true, hosts: Vec::new() }),
+        value => Ok(List::from_value(value)?),
+    }
+}
+
+/// The timing of polls, from the time in which a draining endpoint has to be noticed.
+fn poll_timing(file_settings: &Value, settings: &Settings) -> Result<Pace, ParseError> {
+    let drain_grace = Object::of(file_settings, "rules")?.number("drain-grace-ms")?;
+    Ok(Pace::of(!settings.polls_endpoints, span(drain_grace)))
+}
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -33,7 +33,7 @@
 fn start() -> Result<(), StartupError> {
     // First of all: until then a signal ends the process.
     let signals = startup::retry_local_errors(Signals::install).map_err(StartupError::Signals)?;
-    let config = Config::from_environment()?;
+    let config = Config::load()?;
     let runtime = || tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = startup::retry_local_errors(runtime).map_err(StartupError::EventLoop)?;
     LocalSet::new().block_on(&runtime, run(config, Rc::new(signals)))
@@ -44,21 +44,21 @@
     let watched = signals.clone();
     spawn(async move { watched.watch().await });
 
-    let sockets = SocketBudget::new(config.sockets);
+    let sockets = SocketBudget::new(config.max_sockets);
     let endpoints = EndpointRegistry::new(
         config.connect_timeout,
-        config.endpoint_idle,
+        config.endpoint_idle_timeout,
         config.settings.load_report_source,
         sockets.endpoints,
     );
     let engine = Engine::start(config.settings.clone(), config.seed, endpoints.clone(), config.counter)?;
     let server = Server::new(engine.clone(), &config.settings, sockets.clients);
 
-    let version = config.known.seq;
-    discovery::tell(config.known, &endpoints, &engine);
+    let version = config.cached_endpoints.seq;
+    discovery::tell(config.cached_endpoints, &endpoints, &engine);
     spawn(endpoints.clone().keep_tidy());
     let (discovery_address, addresses) = watch::channel(config.discovery);
-    spawn(discovery::watch(addresses, version, config.seed, config.pace, endpoints, engine.clone()));
+    spawn(discovery::watch(addresses, version, config.seed, config.poll_timing, endpoints, engine.clone()));
     spawn(reload_on_sighup(signals.clone(), discovery_address, engine));
 
     if let Ok(address) = listener.local_addr() {
--- a/gateway/src/reload.rs
+++ b/gateway/src/reload.rs
@@ -36,7 +36,7 @@
     let started = Instant::now();
     let mut error_logged = false;
     loop {
-        match Config::again() {
+        match Config::reload() {
             Ok(config) => return Some(config),
             Err(error) if !error_logged => {
                 error_logged = true;
