--- a/gateway/src/client/connection.rs
+++ b/gateway/src/client/connection.rs
@@ -5,6 +5,8 @@
 use crate::client::request_head::MAX_HEAD_BYTES;
 use crate::client::response::HttpResponse;
 use crate::client::shutdown::{CloseSignal, LINGER};
+use bytes::Bytes;
+use http_body_util::Full;
 use hyper::Request;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -23,7 +25,8 @@
 enum CloseReason {
     /// The client or the HTTP library has closed it, or it broke.
     Closed,
-    /// No complete request came in time. Clients that send nothing, or too slowly, would use up the connections.
+    /// No complete request came in time. Clients that send nothing, or too slowly, would use up the
+    /// connections.
     RequestTimeout,
     /// The shutdown has come to the point at which it closes this connection.
     Shutdown,
@@ -42,7 +45,7 @@
         async { Ok::<_, Infallible>(response.await) }
     });
     let http = http1::Builder::new()
-        // The state has a timeout of its own, for head and body together.
+        // `ConnectionState` limits the time for head and body together.
         .header_read_timeout(None)
         .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(InstrumentedStream::new(state.clone())), service);
@@ -67,8 +70,8 @@
     }
 }
 
-/// Closes a connection after the response in progress. An unused one may receive its first request for a while:
-/// clients do not repeat a first request when its connection closes without a response.
+/// Closes a connection after the response in progress. An unused one may receive its first request for a
+/// while: clients do not repeat a first request when its connection closes without a response.
 async fn close_for_shutdown(mut http: Pin<&mut impl HttpConnection>, state: &ConnectionState) {
     let first_request_due = state.idle_since() + LINGER;
     if state.is_unused() && timeout_at(first_request_due, http.as_mut()).await.is_ok() {
@@ -99,7 +102,7 @@
 
 impl<S> HttpConnection for http1::Connection<TokioIo<InstrumentedStream>, S>
 where
-    S: HttpService<Incoming, ResBody = http_body_util::Full<bytes::Bytes>, Error = Infallible>,
+    S: HttpService<Incoming, ResBody = Full<Bytes>, Error = Infallible>,
 {
     fn graceful_shutdown(self: Pin<&mut Self>) {
         http1::Connection::graceful_shutdown(self);
--- a/gateway/src/client/connection_state.rs
+++ b/gateway/src/client/connection_state.rs
@@ -9,8 +9,9 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// The time for a complete request, from the start of the connection, its last response, or the first byte of its next
-/// request. Further bytes do not extend it: clients that send head or body byte by byte are closed as well.
+/// The time for a complete request, from the start of the connection, its last response, or the first byte of
+/// its next request. Further bytes do not extend it: clients that send head or body byte by byte are closed
+/// as well.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// The state of one client connection.
@@ -100,7 +101,8 @@
         self.head.take();
     }
 
-    /// Whether the head that was received is that of `request` and has `Transfer-Encoding: chunked` and no length.
+    /// Whether the head that was received is that of `request` and has `Transfer-Encoding: chunked` and no
+    /// length.
     pub(super) fn is_plainly_chunked(&self, request: &Request<Incoming>) -> bool {
         self.head.borrow().is_plainly_chunked(request)
     }
--- a/gateway/src/client/connection_table.rs
+++ b/gateway/src/client/connection_table.rs
@@ -1,8 +1,8 @@
 //! All client connections, the limit on their number, and the eviction of idle ones.
 //!
-//! Clients that connect, send one request and keep the connection could use up the connections, and others would wait
-//! in the accept queue. So from half of the limit on, each new connection evicts an idle one. Clients with many
-//! connections that send requests rarely pay for it with reconnects.
+//! Clients that connect, send one request and keep the connection could use up the connections, and others
+//! would wait in the accept queue. So from half of the limit on, each new connection evicts an idle one.
+//! Clients with many connections that send requests rarely pay for it with reconnects.
 
 use crate::client::connection_state::ConnectionState;
 use std::cell::RefCell;
@@ -11,13 +11,13 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Eviction begins at the limit on connections divided by this. Long before the limit: clients and proxies in front of
-/// the gateway have limits on their connections as well.
+/// Eviction begins at the limit on connections divided by this. Long before the limit: clients and proxies in
+/// front of the gateway have limits on their connections as well.
 const EVICTION_THRESHOLD_DIVISOR: usize = 2;
 /// A connection younger than this is new: its first request may be on its way.
 const NEW_CONNECTION_AGE: Duration = Duration::from_millis(100);
 
-/// How soon an idle connection is evicted, the first ones first.
+/// The order in which idle connections are evicted, the lowest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
     /// Open for a while without a complete request.
@@ -89,8 +89,8 @@
     fn evict_idle(&self) {
         let connections = self.connections.borrow();
         let now = Instant::now();
-        // New connections are evicted at the limit only: below it the others may all be busy, and the new ones would
-        // be the only candidates.
+        // New connections are evicted at the limit only: below it the others may all be busy, and the new
+        // ones would be the only candidates.
         let spares_new = connections.len() < self.max_connections;
         let candidate = connections
             .iter()
--- a/gateway/src/client/handler.rs
+++ b/gateway/src/client/handler.rs
@@ -3,7 +3,7 @@
 use crate::client::connection_state::ConnectionState;
 use crate::client::connection_table::ConnectionTable;
 use crate::client::request::{ParsedRequest, RequestError, RequestParser};
-use crate::client::response::{self, FinalAnswers, HttpResponse};
+use crate::client::response::{self, HttpResponse, Responder};
 use crate::client::shutdown::Shutdown;
 use crate::engine::Engine;
 use crate::headers::READINESS_PATH;
@@ -18,7 +18,7 @@
 /// Answers requests.
 pub(super) struct RequestHandler {
     parser: RequestParser,
-    final_answers: FinalAnswers,
+    responder: Responder,
     connections: Rc<ConnectionTable>,
     shutdown: Rc<Shutdown>,
     /// The ids of all requests in progress.
@@ -32,13 +32,19 @@
     Close,
 }
 
+/// A response, and what becomes of the connection after it.
+struct Answer {
+    response: HttpResponse,
+    persistence: Persistence,
+}
+
 impl RequestHandler {
     pub(super) fn new(
         engine: Rc<Engine>, settings: &Settings, connections: Rc<ConnectionTable>, shutdown: Rc<Shutdown>,
     ) -> Self {
         Self {
             parser: RequestParser::new(settings),
-            final_answers: FinalAnswers::new(engine, shutdown.clone()),
+            responder: Responder::new(engine, shutdown.clone()),
             connections,
             shutdown,
             ids_in_progress: RefCell::default(),
@@ -50,8 +56,9 @@
         &self, request: Request<Incoming>, connection: &ConnectionState,
     ) -> HttpResponse {
         let has_transfer_encoding = request.headers().contains_key(TRANSFER_ENCODING);
-        let (mut response, persistence) = self.respond(request, connection).await;
-        // A draining or full gateway closes connections so that clients use another one, or leave capacity to others.
+        let Answer { mut response, persistence } = self.respond(request, connection).await;
+        // A draining or full gateway closes connections so that clients use another one, or leave capacity to
+        // others.
         if persistence == Persistence::Close
             || has_transfer_encoding
             || self.shutdown.is_draining()
@@ -63,22 +70,23 @@
         response
     }
 
-    async fn respond(
-        &self, request: Request<Incoming>, connection: &ConnectionState,
-    ) -> (HttpResponse, Persistence) {
+    async fn respond(&self, request: Request<Incoming>, connection: &ConnectionState) -> Answer {
         if request.uri().path() == READINESS_PATH {
             let response = response::readiness(request.method(), self.shutdown.is_draining());
-            return (response, Persistence::KeepAlive);
+            return Answer { response, persistence: Persistence::KeepAlive };
         }
         let (request, _id_in_progress) = match self.receive(request, connection).await {
             Ok(received) => received,
             // The client may have meant something else by the bytes that follow.
-            Err(error) => return (response::invalid_request(error), Persistence::Close),
+            Err(error) => {
+                let response = response::invalid_request(error);
+                return Answer { response, persistence: Persistence::Close };
+            }
         };
         connection.record_request();
         match self.answer_while_connected(request, connection).await {
-            Some(response) => (response, Persistence::KeepAlive),
-            None => (response::client_disconnected(), Persistence::Close),
+            Some(response) => Answer { response, persistence: Persistence::KeepAlive },
+            None => Answer { response: response::client_disconnected(), persistence: Persistence::Close },
         }
     }
 
@@ -107,9 +115,9 @@
 
     /// Returns the final answer, or `None` once the client has disconnected.
     ///
-    /// The HTTP library does not notice a disconnect behind bytes that the client sent after its request, so the
-    /// socket is watched. It is also checked before the request is submitted: clients that send many requests and
-    /// disconnect at once would delay others until each disconnect is noticed.
+    /// The HTTP library does not notice a disconnect behind bytes that the client sent after its request, so
+    /// the socket is watched. It is also checked before the request is submitted: clients that send many
+    /// requests and disconnect at once would delay others until each disconnect is noticed.
     async fn answer_while_connected(
         &self, request: ParsedRequest, connection: &ConnectionState,
     ) -> Option<HttpResponse> {
@@ -118,7 +126,7 @@
             if socket.has_left().await {
                 return None;
             }
-            Some(self.final_answers.answer(request, socket.clone()).await)
+            Some(self.responder.answer(request, socket.clone()).await)
         };
         tokio::select! {
             biased;
--- a/gateway/src/client/instrumented_stream.rs
+++ b/gateway/src/client/instrumented_stream.rs
@@ -1,5 +1,5 @@
-//! A client's socket that records the received bytes in the state of its connection, for timeouts and the check of
-//! request heads.
+//! A client's socket that records the received bytes in the state of its connection, for timeouts and the
+//! check of request heads.
 
 use crate::client::connection_state::ConnectionState;
 use crate::socket::Socket;
--- a/gateway/src/client/listener.rs
+++ b/gateway/src/client/listener.rs
@@ -24,7 +24,8 @@
 
     /// Accepts the next connection once the limit on connections admits one.
     ///
-    /// Until then the connection waits in the kernel's accept queue, where it uses no descriptor of this process.
+    /// Until then the connection waits in the kernel's accept queue, where it uses no descriptor of this
+    /// process.
     pub(super) async fn accept(&self) -> TcpStream {
         loop {
             self.connections.wait_for_capacity().await;
@@ -37,12 +38,13 @@
         }
     }
 
-    /// Accepts every connection in the kernel's accept queue, passes each to `serve` and closes the listener. Gives
-    /// up after `limit` if the queue cannot be read.
+    /// Accepts every connection in the kernel's accept queue, passes each to `serve` and closes the listener.
+    /// Gives up after `limit` if the queue cannot be read.
     ///
-    /// The kernel has completed these connections, so clients may have sent requests on them; closing the listener
-    /// resets those that are left. The queue is read without the event loop, which may not have noticed the newest
-    /// connections yet. A failed call does not end the loop, as the connections behind it would be lost.
+    /// The kernel has completed these connections, so clients may have sent requests on them; closing the
+    /// listener resets those that are left. The queue is read without the event loop, which may not have
+    /// noticed the newest connections yet. A failed call does not end the loop, as the connections behind it
+    /// would be lost.
     pub(super) async fn drain_accept_queue(self, limit: Duration, serve: impl Fn(TcpStream)) {
         let Ok(listener) = self.listener.into_std() else { return };
         let deadline = Instant::now() + limit;
--- a/gateway/src/client/request.rs
+++ b/gateway/src/client/request.rs
@@ -17,7 +17,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The longest time to a deadline; larger values are taken for errors.
+/// The longest time to a deadline; larger values are rejected.
 const MAX_DEADLINE_MS: u64 = 600_000;
 /// The longest request id, in bytes.
 const MAX_REQUEST_ID_BYTES: usize = 64;
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Validates the head of a request and reads its body. The timeout of the connection limits the time of both.
+    /// Validates the head of a request and reads its body. The timeout of the connection limits the time of
+    /// both.
     pub(super) async fn parse(&self, request: Request<Incoming>) -> Result<ParsedRequest, RequestError> {
         let (head, body) = request.into_parts();
         let mut parsed = self.parse_head(&head)?;
@@ -164,7 +165,8 @@
         })
     }
 
-    /// The class, from the first segment of the path. Names in the settings may need percent-encoding in a path.
+    /// The class, from the first segment of the path. Names in the settings may need percent-encoding in a
+    /// path.
     fn class(&self, target: &PathAndQuery) -> Result<&ClassRule, RequestError> {
         let segment = target.path().strip_prefix('/').and_then(|path| path.split('/').next());
         let segment = segment.filter(|segment| !segment.is_empty()).ok_or(RequestError::NoPath)?;
@@ -186,12 +188,22 @@
             RequestError::InvalidHeader { header: TERMS, expected: "the form units=2,spread=3,first=1" };
         let value = text(headers, TERMS, invalid)?.ok_or(invalid)?;
         let terms = parse_terms(value).ok_or(invalid)?;
-        // Other values could never be served, and would spoil what is known of the tenant.
-        let is_valid = terms.units > 0.0
+        if self.are_possible(terms) {
+            return Ok(terms);
+        }
+        Err(RequestError::InvalidHeader {
+            header: TERMS,
+            expected: "units within the limit of a request, and gateways of the fleet",
+        })
+    }
+
+    /// Whether a tenant can have such a request. Others would spoil the usage that is recorded for the
+    /// tenant.
+    fn are_possible(&self, terms: Terms) -> bool {
+        terms.units > 0.0
             && terms.units <= self.max_units
             && (1..=self.gateway_count).contains(&terms.gateways_per_tenant)
-            && terms.first_gateway < self.gateway_count;
-        if is_valid { Ok(terms) } else { Err(invalid) }
+            && terms.first_gateway < self.gateway_count
     }
 }
 
--- a/gateway/src/client/request_head.rs
+++ b/gateway/src/client/request_head.rs
@@ -1,7 +1,8 @@
 //! The head of the request that a client is sending, as received.
 //!
-//! The HTTP library drops a `Content-Length` that follows a `Transfer-Encoding`. A request with both could hide
-//! another in its body from a proxy that goes by the length (request smuggling), so the bytes themselves are checked.
+//! The HTTP library drops a `Content-Length` that follows a `Transfer-Encoding`. A request with both could
+//! hide another in its body from a proxy that uses the length (request smuggling), so the received bytes are
+//! checked.
 
 use crate::headers::HEAD_END;
 use hyper::Request;
--- a/gateway/src/client/response.rs
+++ b/gateway/src/client/response.rs
@@ -30,7 +30,7 @@
     /// The time that the policy has for the final answer.
     time_for_policy: Duration,
     /// When the policy's time is over.
-    policy: Instant,
+    policy_deadline: Instant,
     /// When the final answer is given without the policy.
     backstop: Instant,
 }
@@ -39,19 +39,19 @@
     fn new(time_to_deadline: Duration) -> Self {
         let margin = DEADLINE_MARGIN.min(time_to_deadline.mul_f64(DEADLINE_MARGIN_FRACTION));
         let time_for_policy = time_to_deadline - margin;
-        let policy = Instant::now() + time_for_policy;
-        let backstop = policy + FINAL_ANSWER_BACKSTOP.min(margin / 2);
-        Self { time_for_policy, policy, backstop }
+        let policy_deadline = Instant::now() + time_for_policy;
+        let backstop = policy_deadline + FINAL_ANSWER_BACKSTOP.min(margin / 2);
+        Self { time_for_policy, policy_deadline, backstop }
     }
 }
 
-/// Gets the final answers of requests from the engine.
-pub(super) struct FinalAnswers {
+/// Submits requests to the engine and returns their final answers.
+pub(super) struct Responder {
     engine: Rc<Engine>,
     shutdown: Rc<Shutdown>,
 }
 
-impl FinalAnswers {
+impl Responder {
     pub(super) fn new(engine: Rc<Engine>, shutdown: Rc<Shutdown>) -> Self {
         Self { engine, shutdown }
     }
@@ -90,12 +90,12 @@
             first_gateway: terms.first_gateway,
             gateways_per_tenant: terms.gateways_per_tenant,
         };
-        self.engine.open(arrival, message, client, deadlines.policy)
+        self.engine.open(arrival, message, client, deadlines.policy_deadline)
     }
 }
 
-/// A request whose client waits for its final answer. Dropped before that, it reports to the engine that the client
-/// has disconnected; after it, the engine knows no such request and does nothing.
+/// A request whose client waits for its final answer. Dropped before that, it reports to the engine that the
+/// client has disconnected; after it, the engine knows no such request and does nothing.
 struct SubmittedRequest<'a> {
     engine: &'a Engine,
     id: RequestId,
--- a/gateway/src/client/server.rs
+++ b/gateway/src/client/server.rs
@@ -31,8 +31,8 @@
         Rc::new(Self { engine, handler, connections, shutdown })
     }
 
-    /// Serves clients until `terminated` resolves, then shuts down gracefully. Returns once the last connection has
-    /// ended or the time for it is over.
+    /// Serves clients until `terminated` resolves, then shuts down gracefully. Returns once the last
+    /// connection has ended or the time for it is over.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, terminated: impl Future<Output = ()>) {
         let listener = ClientListener::new(listener, self.connections.clone());
         let mut accepting_ends = pin!(async {
--- a/gateway/src/client/shutdown.rs
+++ b/gateway/src/client/shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown, step by step: see [`ShutdownPhase`].
 //!
-//! The process may be killed 3.7 s after SIGTERM. Until then every request that was accepted gets its final answer, and
-//! clients stop using their connections.
+//! The process may be killed 3.7 s after SIGTERM. Until then every request that was accepted gets its final
+//! answer, and clients stop using their connections.
 
 use crate::client::connection_table::ConnectionTable;
 use crate::client::listener::ClientListener;
@@ -17,9 +17,11 @@
 const LEASE_RETURN_TIME: Duration = Duration::from_millis(200);
 /// An accept queue that cannot be read is given up after this.
 const ACCEPT_QUEUE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Requests without a response get a final answer this long after SIGTERM: just before the process may be killed.
+/// Requests without a response get a final answer this long after SIGTERM: just before the process may be
+/// killed.
 const FINAL_ANSWERS_AFTER: Duration = Duration::from_millis(3500);
-/// Connections are given up this long after the last final answer, as clients may stop reading or sending half-way.
+/// Connections are given up this long after the last final answer, as clients may stop reading or sending
+/// half-way.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often the end of the last requests is checked while connections close.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -31,8 +33,8 @@
     Serving,
     /// Readiness fails, and each response closes its connection; new connections are still accepted.
     NotReady,
-    /// The connections from the phases before are closed when idle. A client whose request crosses the close sends it
-    /// again on a new connection, so these are still accepted.
+    /// The connections from the phases before are closed when idle. A client whose request crosses the close
+    /// sends it again on a new connection, so these are still accepted.
     ClosingIdleConnections,
     /// Leased units are returned to the quotas; new connections are still accepted.
     ReturningLeases,
@@ -56,7 +58,7 @@
     }
 }
 
-/// Tells one connection when the shutdown closes it.
+/// Signals to one connection that the shutdown closes it.
 pub(super) struct CloseSignal {
     phase: watch::Receiver<ShutdownPhase>,
     round_at_open: CloseRound,
@@ -67,7 +69,8 @@
     pub(super) async fn received(&mut self) {
         let round_at_open = self.round_at_open;
         let closes = |phase: &ShutdownPhase| phase.close_round() > round_at_open;
-        // Dropped at once: the value locks the channel, and a phase change on this thread would wait for it forever.
+        // Dropped at once: the value locks the channel, and a phase change on this thread would wait for it
+        // forever.
         drop(self.phase.wait_for(closes).await);
     }
 }
@@ -106,8 +109,8 @@
         }
     }
 
-    /// The phases in which new connections are accepted: fails readiness, lingers, closes idle connections, and
-    /// returns the leases. Runs beside the listener.
+    /// The phases in which new connections are accepted: fails readiness, lingers, closes idle connections,
+    /// and returns the leases. Runs beside the listener.
     pub(super) async fn drain_while_accepting(&self, engine: &Engine) {
         self.final_answers_at.send_replace(Some(Instant::now() + FINAL_ANSWERS_AFTER));
         self.enter(ShutdownPhase::NotReady);
@@ -126,8 +129,8 @@
         listener.drain_accept_queue(ACCEPT_QUEUE_TIMEOUT, serve).await;
     }
 
-    /// Closes all connections once they are idle. Returns when they are closed, or some time after the last final
-    /// answer.
+    /// Closes all connections once they are idle. Returns when they are closed, or some time after the last
+    /// final answer.
     pub(super) async fn close_all_connections(&self, engine: &Engine, connections: &ConnectionTable) {
         self.enter(ShutdownPhase::ClosingAllConnections);
         let mut answered_since = Instant::now();
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -138,8 +138,8 @@
         Self::read(|variable, file| variable.or(file))
     }
 
-    /// Reads the configuration while the program runs: the file takes precedence, as the variables are from the start
-    /// of the program.
+    /// Reads the configuration while the program runs: the file takes precedence, as the variables are from
+    /// the start of the program.
     ///
     /// # Errors
     /// When it cannot be used.
@@ -157,9 +157,9 @@
             .map_err(|source| ConfigError::Invalid { path: path.into(), source })
     }
 
-    /// Parses the text of a configuration file. `choose` gets the name of a variable and the file's value, and returns
-    /// the value that applies. A time that the settings lack or have as 0 is the default one, for sockets and policy
-    /// alike.
+    /// Parses the text of a configuration file. `choose` gets the name of a variable and the file's value,
+    /// and returns the value that applies. A time that the settings lack or have as 0 is the default one, for
+    /// sockets and policy alike.
     ///
     /// # Errors
     /// When it cannot be used.
--- a/gateway/src/reload.rs
+++ b/gateway/src/reload.rs
@@ -13,8 +13,8 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// How long a configuration that cannot be used is read again: the file may be incomplete at the signal, and no second
-/// signal follows. Changes of addresses count as notified 4 s after the signal.
+/// How long a configuration that cannot be used is read again: the file may be incomplete at the signal, and
+/// no second signal follows. Changes of addresses count as notified 4 s after the signal.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(3);
 /// The pause between two attempts to read it.
 const RELOAD_PAUSE: Duration = Duration::from_millis(100);
--- a/gateway/src/startup.rs
+++ b/gateway/src/startup.rs
@@ -14,8 +14,8 @@
 const CLIENT_FRACTION: f64 = 0.55;
 /// The connections that the kernel accepts ahead of the gateway.
 const ACCEPT_QUEUE_LENGTH: u32 = 1024;
-/// How long a call is repeated while the system lacks descriptors or memory, or a process that has just ended holds
-/// the address.
+/// How long a call is repeated while the system lacks descriptors or memory, or a process that has just ended
+/// holds the address.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause between two such calls.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
@@ -79,8 +79,8 @@
     socket.listen(ACCEPT_QUEUE_LENGTH)
 }
 
-/// Repeats a call for up to 5 s while it fails for lack of resources of this machine. Blocks the thread meanwhile, as
-/// a gateway can do nothing else before its start.
+/// Repeats a call for up to 5 s while it fails for lack of resources of this machine. Blocks the thread
+/// meanwhile, as a gateway can do nothing else before its start.
 ///
 /// # Errors
 /// The last error, or the first one with another cause.
