--- a/fleet/src/gateways.rs
+++ b/fleet/src/gateways.rs
@@ -102,7 +102,7 @@
         let bytes = if batch.list.whole { &mut self.whole_bytes } else { &mut self.change_bytes };
         *bytes += batch.bytes;
         if let Some(table) = &self.table {
-            table.update(&batch.list);
+            table.apply(&batch.list);
         }
         let entries = batch.list.hosts.iter().map(|h| h.entry.clone()).collect();
         if batch.list.whole { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) }
--- a/fleet/src/slopes.rs
+++ b/fleet/src/slopes.rs
@@ -284,7 +284,7 @@
     fn take_in(&mut self, text: &str) -> Result<Duration, ListError> {
         let begun = Instant::now();
         let list = List::parse(text.as_bytes())?;
-        self.table.update(&list);
+        self.table.apply(&list);
         let entries = list.hosts.into_iter().map(|h| h.entry).collect();
         let event = if list.whole { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) };
         self.gateway.handle(self.now, event, &mut Vec::new());
--- a/gateway/src/client/mod.rs
+++ b/gateway/src/client/mod.rs
@@ -1,7 +1,7 @@
 //! The clients' side: takes requests in, reads their headers, writes their answers, drains at the end.
 
 use crate::clock::millis;
-use crate::endpoint::{LARGEST_BODY, Message};
+use crate::endpoint::{ForwardedRequest, MAX_BODY_BYTES};
 use crate::engine::{Engine, Reply};
 use crate::socket::{Socket, is_local};
 use bytes::Bytes;
@@ -88,7 +88,7 @@
     first: u32,
     repeat: bool,
     patience: Duration,
-    message: Message,
+    message: ForwardedRequest,
 }
 
 /// The server side of one gateway.
@@ -416,7 +416,7 @@
             self.up(request.method())
         } else {
             let taken = self.take(request, client).await;
-            match taken.and_then(|parsed| Ok((self.register(parsed.message.id.clone())?, parsed))) {
+            match taken.and_then(|parsed| Ok((self.register(parsed.message.request_id.clone())?, parsed))) {
                 Ok((_in_flight, parsed)) => {
                     client.busy.set(true);
                     // Guards endpoints against requests of those who are gone. The HTTP library sees an end only
@@ -489,11 +489,11 @@
         if parsed.message.method == Method::GET {
             return Err(RequestError::Bad("a body where none belongs"));
         }
-        if body.size_hint().lower() > LARGEST_BODY as u64 {
+        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
             return Err(RequestError::TooLarge);
         }
         // The connection's own time bounds this: it is closed when that is over.
-        match Limited::new(body, LARGEST_BODY).collect().await {
+        match Limited::new(body, MAX_BODY_BYTES).collect().await {
             Ok(body) => parsed.message.body = body.to_bytes(),
             Err(error) if error.is::<LengthLimitError>() => return Err(RequestError::TooLarge),
             Err(_) => return Err(RequestError::Bad("body")),
@@ -543,7 +543,14 @@
         let terms = text(headers, "api-terms")?.ok_or(RequestError::Bad("Api-Terms"))?;
         let (units, spread, first) = self.terms(terms).ok_or(RequestError::Bad("Api-Terms"))?;
         let (kind, key) = (headers.get(CONTENT_TYPE).cloned(), key.cloned());
-        let message = Message { method, target, id: id.clone(), key, kind, body: Bytes::new() };
+        let message = ForwardedRequest {
+            method,
+            target,
+            request_id: id.clone(),
+            idempotency_key: key,
+            content_type: kind,
+            body: Bytes::new(),
+        };
         Ok(ParsedRequest { class, plan, tenant, units, spread, first, repeat, patience, message })
     }
 
--- a/gateway/src/discovery/mod.rs
+++ b/gateway/src/discovery/mod.rs
@@ -149,7 +149,7 @@
 
 /// Brings a list to the connections first, so that nothing is sent by an older word, then to the decisions.
 pub fn tell(list: List, endpoints: &EndpointRegistry, engine: &Engine) {
-    endpoints.update(&list);
+    endpoints.apply(&list);
     let entries = list.hosts.into_iter().map(|h| h.entry).collect();
     engine.post(if list.whole { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) });
 }
--- /dev/null
+++ b/gateway/src/endpoint/attempt.rs
@@ -0,0 +1,203 @@
+//! One attempt to have a request served by an endpoint, and how it ended.
+
+use crate::clock::millis;
+use crate::endpoint::exchange::{EndpointRequest, exchange};
+use crate::endpoint::load_report;
+use crate::endpoint::registry::EndpointRegistry;
+use crate::headers::{DEADLINE_MS, IDEMPOTENCY_KEY, LOAD_REPORT, REJECTED, REQUEST_ID};
+use crate::socket::Socket;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::{CONTENT_TYPE, HOST, HeaderMap, HeaderValue};
+use hyper::http::uri::PathAndQuery;
+use hyper::http::{self, response};
+use hyper::{Method, Request, StatusCode};
+use ryefront_policy::{Idempotency, LoadReport, LoadReportSource, Name, Outcome};
+use std::cell::RefCell;
+use std::future::{Future, poll_fn};
+use std::net::SocketAddr;
+use std::pin::Pin;
+use tokio::sync::oneshot;
+use tokio::time::{Instant, sleep_until};
+
+/// Headers of a response that belong to the connection to the endpoint, and are not forwarded to the client.
+const CONNECTION_HEADERS: [&str; 6] =
+    ["connection", "keep-alive", "transfer-encoding", "content-length", "upgrade", "trailer"];
+
+/// The part of a client's request that is forwarded to endpoints.
+#[derive(Clone, Debug)]
+pub struct ForwardedRequest {
+    /// The method.
+    pub method: Method,
+    /// Path and query, as received.
+    pub target: PathAndQuery,
+    /// The value of [`REQUEST_ID`].
+    pub request_id: HeaderValue,
+    /// The value of [`IDEMPOTENCY_KEY`].
+    pub idempotency_key: Option<HeaderValue>,
+    /// The value of `Content-Type`.
+    pub content_type: Option<HeaderValue>,
+    /// The body.
+    pub body: Bytes,
+}
+
+/// When an attempt must have ended.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptLimits {
+    /// The attempt ends at this time at the latest, and nothing is written from then on.
+    pub deadline: Instant,
+    /// The request's last byte is written before this time, or the attempt is given up.
+    pub write_deadline: Option<Instant>,
+}
+
+/// An endpoint's response with status 200.
+#[derive(Debug)]
+pub struct EndpointResponse {
+    /// Its headers, without those that belong to the connection.
+    pub headers: HeaderMap,
+    /// Its body.
+    pub body: Bytes,
+}
+
+/// How an attempt ended.
+#[derive(Debug)]
+pub struct AttemptResult {
+    /// How it ended.
+    pub outcome: Outcome,
+    /// The response, if the request was served.
+    pub response: Option<EndpointResponse>,
+    /// The load report in the response's headers.
+    pub load_report: Option<LoadReport>,
+}
+
+impl From<Outcome> for AttemptResult {
+    fn from(outcome: Outcome) -> Self {
+        Self { outcome, response: None, load_report: None }
+    }
+}
+
+/// One attempt: a request on its way to one endpoint.
+pub struct Attempt<'a> {
+    endpoint: &'a Name,
+    request: ForwardedRequest,
+    limits: AttemptLimits,
+    cancellation: Cancellation,
+    client: &'a Socket,
+}
+
+impl<'a> Attempt<'a> {
+    /// An attempt that is given up when `cancelled` resolves, and not begun once the `client` has
+    /// disconnected.
+    pub fn new(
+        endpoint: &'a Name, request: ForwardedRequest, limits: AttemptLimits,
+        cancelled: oneshot::Receiver<()>, client: &'a Socket,
+    ) -> Self {
+        Self { endpoint, request, limits, cancellation: Cancellation(RefCell::new(cancelled)), client }
+    }
+
+    /// Sends the request and returns how that ended, once the connection is closed or idle again.
+    pub async fn run(self, endpoints: &EndpointRegistry) -> AttemptResult {
+        let began = Instant::now();
+        // Whichever branch is chosen, the exchange is dropped, and its connection closed, before the result
+        // is known.
+        let result = tokio::select! {
+            biased;
+            response = exchange(endpoints, self.endpoint, &self) => response
+                .map_or_else(AttemptResult::from, |response| classify(response, endpoints.load_report_source())),
+            () = self.cancellation.requested() => Outcome::Cancelled.into(),
+            () = sleep_until(self.limits.deadline) => Outcome::TimedOut.into(),
+        };
+        if result.outcome == Outcome::TimedOut {
+            endpoints.record_timeout(self.endpoint, began);
+        }
+        result
+    }
+}
+
+impl EndpointRequest for Attempt<'_> {
+    fn idempotency(&self) -> Idempotency {
+        if self.request.idempotency_key.is_some() {
+            Idempotency::WithKey
+        } else if self.request.method.is_safe() {
+            Idempotency::Idempotent
+        } else {
+            Idempotency::NonIdempotent
+        }
+    }
+
+    fn write_deadline(&self) -> Option<Instant> {
+        self.limits.write_deadline
+    }
+
+    /// The connection may have been established in the same turn of the event loop in which the client
+    /// disconnected, the attempt was cancelled, or its time ended: so each is checked.
+    async fn check_may_begin(&self) -> Result<(), Outcome> {
+        if self.client.has_left().await || self.cancellation.is_requested() {
+            return Err(Outcome::Cancelled);
+        }
+        let now = Instant::now();
+        if self.limits.write_deadline.is_some_and(|write_deadline| now >= write_deadline) {
+            return Err(Outcome::NotSent);
+        }
+        if now < self.limits.deadline { Ok(()) } else { Err(Outcome::TimedOut) }
+    }
+
+    fn build(&self, address: SocketAddr) -> http::Result<Request<Full<Bytes>>> {
+        let time_left = self.limits.deadline.saturating_duration_since(Instant::now());
+        let request = self.request.clone();
+        let mut builder = Request::builder()
+            .method(request.method)
+            .uri(request.target)
+            .header(HOST, address.to_string())
+            .header(REQUEST_ID, request.request_id)
+            .header(DEADLINE_MS, millis(time_left).floor().to_string());
+        if let Some(key) = request.idempotency_key {
+            builder = builder.header(IDEMPOTENCY_KEY, key);
+        }
+        if let Some(content_type) = request.content_type {
+            builder = builder.header(CONTENT_TYPE, content_type);
+        }
+        builder.body(Full::new(request.body))
+    }
+}
+
+/// Whether an attempt has been cancelled.
+struct Cancellation(RefCell<oneshot::Receiver<()>>);
+
+impl Cancellation {
+    fn is_requested(&self) -> bool {
+        self.0.borrow_mut().try_recv().is_ok()
+    }
+
+    /// Resolves once the attempt is cancelled, or nobody can cancel it any more.
+    async fn requested(&self) {
+        let _ = poll_fn(|cx| Pin::new(&mut *self.0.borrow_mut()).poll(cx)).await;
+    }
+}
+
+/// Classifies a response.
+fn classify(
+    (mut head, body): (response::Parts, Bytes), load_report_source: LoadReportSource,
+) -> AttemptResult {
+    let is_marked_rejected = head.headers.get(REJECTED).is_some_and(|value| value == "1");
+    let outcome = match head.status {
+        StatusCode::OK => Outcome::Served,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_marked_rejected => {
+            Outcome::Rejected
+        }
+        // With any other status the endpoint may have run the request, whatever the header says.
+        _ => Outcome::Error,
+    };
+    let load_report = head
+        .headers
+        .remove(LOAD_REPORT)
+        .filter(|_| load_report_source == LoadReportSource::Responses)
+        .and_then(|report| report.to_str().ok().and_then(load_report::parse));
+    let response = (outcome == Outcome::Served).then(|| {
+        for name in CONNECTION_HEADERS {
+            head.headers.remove(name);
+        }
+        EndpointResponse { headers: head.headers, body }
+    });
+    AttemptResult { outcome, response, load_report }
+}
--- /dev/null
+++ b/gateway/src/endpoint/health_check.rs
@@ -0,0 +1,72 @@
+//! Health checks: a request to an endpoint for its load report or, where there are no reports, for its
+//! liveness.
+
+use crate::endpoint::exchange::{EndpointRequest, exchange};
+use crate::endpoint::load_report;
+use crate::endpoint::registry::EndpointRegistry;
+use crate::headers::{LIVENESS_PATH, LOAD_REPORT_PATH};
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::HOST;
+use hyper::http;
+use hyper::{Request, StatusCode};
+use ryefront_policy::{Idempotency, LoadReport, LoadReportSource, Name, Outcome};
+use std::net::SocketAddr;
+use tokio::time::{Instant, timeout};
+
+/// How a health check ended.
+#[derive(Debug)]
+pub struct HealthCheckResult {
+    /// How it ended.
+    pub outcome: Outcome,
+    /// The load report in the response's body.
+    pub load_report: Option<LoadReport>,
+}
+
+impl From<Outcome> for HealthCheckResult {
+    fn from(outcome: Outcome) -> Self {
+        Self { outcome, load_report: None }
+    }
+}
+
+/// Checks an endpoint's health; this may take as long as a new connection may.
+pub async fn check_health(endpoints: &EndpointRegistry, endpoint: &Name) -> HealthCheckResult {
+    let path = match endpoints.load_report_source() {
+        LoadReportSource::None => LIVENESS_PATH,
+        LoadReportSource::Responses | LoadReportSource::HealthChecks => LOAD_REPORT_PATH,
+    };
+    let request = HealthCheckRequest { path };
+    let time_limit = endpoints.connections().connect_timeout();
+    match timeout(time_limit, exchange(endpoints, endpoint, &request)).await {
+        Ok(Ok((head, body))) if head.status == StatusCode::OK => {
+            let load_report = std::str::from_utf8(&body).ok().and_then(load_report::parse);
+            HealthCheckResult { outcome: Outcome::Served, load_report }
+        }
+        Ok(Ok(_)) => Outcome::Error.into(),
+        Ok(Err(outcome)) => outcome.into(),
+        Err(_) => Outcome::TimedOut.into(),
+    }
+}
+
+/// The request of a health check.
+struct HealthCheckRequest {
+    path: &'static str,
+}
+
+impl EndpointRequest for HealthCheckRequest {
+    fn idempotency(&self) -> Idempotency {
+        Idempotency::Idempotent
+    }
+
+    fn write_deadline(&self) -> Option<Instant> {
+        None
+    }
+
+    async fn check_may_begin(&self) -> Result<(), Outcome> {
+        Ok(())
+    }
+
+    fn build(&self, address: SocketAddr) -> http::Result<Request<Full<Bytes>>> {
+        Request::get(self.path).header(HOST, address.to_string()).body(Full::default())
+    }
+}
--- a/gateway/src/endpoint/pool.rs
+++ b/gateway/src/endpoint/pool.rs
@@ -1,73 +1,86 @@
-//! Idle connections, by endpoint: its cost follows the connections that are kept, not the endpoints that are known.
+//! Idle connections by endpoint. Memory and time follow the connections kept, not the endpoints known.
 
 use rustc_hash::FxHashMap;
 use ryefront_policy::Name;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Idle connections to endpoints, of any kind.
+/// Idle connections to endpoints, of any type.
 pub struct Pool<T> {
-    /// Those of one endpoint in the order in which they came, and since when each is idle. Never empty.
-    idle: FxHashMap<Name, Vec<(T, Instant)>>,
+    /// The connections to each endpoint, in the order in which they became idle. No list is empty.
+    by_endpoint: FxHashMap<Name, Vec<IdleConnection<T>>>,
     count: usize,
 }
 
+/// A connection that carries no request.
+#[derive(Debug, PartialEq, Eq)]
+pub struct IdleConnection<T> {
+    /// The connection.
+    pub connection: T,
+    /// When it became idle.
+    pub idle_since: Instant,
+}
+
 impl<T> Default for Pool<T> {
     fn default() -> Self {
-        Self { idle: FxHashMap::default(), count: 0 }
+        Self { by_endpoint: FxHashMap::default(), count: 0 }
     }
 }
 
 impl<T> Pool<T> {
-    /// How many there are.
+    /// The number of connections to all endpoints.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether there are none.
+    /// Whether there are no connections.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Keeps a connection that is idle since then.
-    pub fn put(&mut self, endpoint: &Name, connection: T, since: Instant) {
-        self.idle.entry(endpoint.clone()).or_default().push((connection, since));
+    /// Adds a connection that has been idle since then.
+    pub fn put(&mut self, endpoint: &Name, connection: T, idle_since: Instant) {
+        let idle = IdleConnection { connection, idle_since };
+        self.by_endpoint.entry(endpoint.clone()).or_default().push(idle);
         self.count += 1;
     }
 
-    /// Takes out the connection to an endpoint that came last of those that have been idle for at least `rest`.
-    pub fn take(&mut self, endpoint: &Name, rest: Duration) -> Option<(T, Instant)> {
-        let at = self.idle.get(endpoint)?.iter().rposition(|(_, since)| since.elapsed() >= rest)?;
-        self.remove(endpoint, at)
+    /// Removes and returns the endpoint's most recently added connection among those idle for at least
+    /// `min_idle`.
+    pub fn take(&mut self, endpoint: &Name, min_idle: Duration) -> Option<IdleConnection<T>> {
+        let connections = self.by_endpoint.get(endpoint)?;
+        let index = connections.iter().rposition(|idle| idle.idle_since.elapsed() >= min_idle)?;
+        self.remove(endpoint, index)
     }
 
     /// Drops all connections to an endpoint.
     pub fn clear(&mut self, endpoint: &Name) {
-        self.count -= self.idle.remove(endpoint).map_or(0, |idle| idle.len());
+        self.count -= self.by_endpoint.remove(endpoint).map_or(0, |connections| connections.len());
     }
 
-    /// Drops the oldest connection to the endpoint with the most, if there are any.
+    /// Drops the oldest connection of the endpoint that has the most, if there are any.
     pub fn evict(&mut self) {
-        let fullest = self.idle.iter().max_by_key(|(_, idle)| idle.len()).map(|(name, _)| name.clone());
-        fullest.and_then(|name| self.remove(&name, 0));
+        let fullest = self.by_endpoint.iter().max_by_key(|(_, connections)| connections.len());
+        let fullest = fullest.map(|(endpoint, _)| endpoint.clone());
+        fullest.and_then(|endpoint| self.remove(&endpoint, 0));
+    }
+
+    /// Drops the connections for which `keep` returns false.
+    pub fn retain(&mut self, keep: impl Fn(&IdleConnection<T>) -> bool) {
+        self.by_endpoint.retain(|_, connections| {
+            connections.retain(&keep);
+            !connections.is_empty()
+        });
+        self.count = self.by_endpoint.values().map(Vec::len).sum();
     }
 
-    fn remove(&mut self, endpoint: &Name, at: usize) -> Option<(T, Instant)> {
-        let idle = self.idle.get_mut(endpoint)?;
-        let removed = idle.remove(at);
-        if idle.is_empty() {
-            self.idle.remove(endpoint);
+    fn remove(&mut self, endpoint: &Name, index: usize) -> Option<IdleConnection<T>> {
+        let connections = self.by_endpoint.get_mut(endpoint)?;
+        let removed = connections.remove(index);
+        if connections.is_empty() {
+            self.by_endpoint.remove(endpoint);
         }
         self.count -= 1;
         Some(removed)
     }
-
-    /// Drops those of which `keep` says so, given each and since when it is idle.
-    pub fn retain(&mut self, keep: impl Fn(&T, Instant) -> bool) {
-        self.idle.retain(|_, idle| {
-            idle.retain(|(connection, since)| keep(connection, *since));
-            !idle.is_empty()
-        });
-        self.count = self.idle.values().map(Vec::len).sum();
-    }
 }
--- /dev/null
+++ b/gateway/src/endpoint/registry.rs
@@ -0,0 +1,154 @@
+//! The endpoints that the gateway knows: addresses and readiness by the endpoint list.
+
+use crate::discovery::{Host, List};
+use crate::endpoint::connections::{AcquiredConnection, EndpointConnections};
+use rustc_hash::FxHashMap;
+use ryefront_policy::{EndpointState, LoadReportSource, Name};
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{Instant, sleep};
+
+/// How often idle connections are checked.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
+
+/// One endpoint.
+struct Endpoint {
+    address: SocketAddr,
+    is_ready: bool,
+    /// When it last sent a response; at first, when it was listed.
+    last_response_at: Instant,
+    /// The number of the last applied list with an entry for it.
+    listed_in: u64,
+}
+
+/// All endpoints that the gateway knows, and the connections to them.
+pub struct EndpointRegistry {
+    endpoints: RefCell<FxHashMap<Name, Endpoint>>,
+    /// The number of endpoint lists applied.
+    applied_lists: Cell<u64>,
+    connections: EndpointConnections,
+    load_report_source: LoadReportSource,
+}
+
+impl EndpointRegistry {
+    /// No endpoints yet; at most `max_open` connections to all of them together. Endpoints close connections
+    /// that were idle for `endpoint_idle_timeout`.
+    pub fn new(
+        connect_timeout: Duration, endpoint_idle_timeout: Duration, load_report_source: LoadReportSource,
+        max_open: usize,
+    ) -> Rc<Self> {
+        Rc::new(Self {
+            endpoints: RefCell::default(),
+            applied_lists: Cell::default(),
+            connections: EndpointConnections::new(connect_timeout, endpoint_idle_timeout, max_open),
+            load_report_source,
+        })
+    }
+
+    /// Applies an endpoint list, in time proportional to its length; a snapshot, besides, in time
+    /// proportional to the number of endpoints. Idle connections to endpoints that are draining or removed or
+    /// have moved to another address are closed.
+    pub fn apply(&self, list: &List) {
+        let list_number = self.applied_lists.get() + 1;
+        self.applied_lists.set(list_number);
+        let now = Instant::now();
+        let mut endpoints = self.endpoints.borrow_mut();
+        if list.whole {
+            let added = list.hosts.len().saturating_sub(endpoints.len());
+            endpoints.reserve(added);
+        }
+        for listed in &list.hosts {
+            self.apply_entry(&mut endpoints, listed, list_number, now);
+        }
+        if list.whole {
+            self.remove_unlisted(&mut endpoints, list_number);
+        }
+    }
+
+    fn apply_entry(
+        &self, endpoints: &mut FxHashMap<Name, Endpoint>, listed: &Host, list_number: u64, now: Instant,
+    ) {
+        let name = &listed.entry.name;
+        let address = listed.dial;
+        if listed.entry.state == EndpointState::Removed {
+            endpoints.remove(name);
+            self.connections.close_idle(name);
+            return;
+        }
+        let is_ready = listed.entry.state == EndpointState::Ready;
+        let endpoint = endpoints.entry(name.clone()).or_insert(Endpoint {
+            address,
+            is_ready,
+            last_response_at: now,
+            listed_in: list_number,
+        });
+        if !is_ready || endpoint.address != address {
+            self.connections.close_idle(name);
+        }
+        endpoint.is_ready = is_ready;
+        endpoint.address = address;
+        endpoint.listed_in = list_number;
+    }
+
+    fn remove_unlisted(&self, endpoints: &mut FxHashMap<Name, Endpoint>, list_number: u64) {
+        endpoints.retain(|name, endpoint| {
+            let is_listed = endpoint.listed_in == list_number;
+            if !is_listed {
+                self.connections.close_idle(name);
+            }
+            is_listed
+        });
+    }
+
+    /// The address of an endpoint that may be sent new requests.
+    pub(super) fn ready_address(&self, endpoint: &Name) -> Option<SocketAddr> {
+        self.endpoints.borrow().get(endpoint).filter(|known| known.is_ready).map(|known| known.address)
+    }
+
+    /// Where load reports come from.
+    pub(super) fn load_report_source(&self) -> LoadReportSource {
+        self.load_report_source
+    }
+
+    /// The connections to the endpoints.
+    pub(super) fn connections(&self) -> &EndpointConnections {
+        &self.connections
+    }
+
+    /// Records that an endpoint sent a response, and keeps the connection for reuse if it can carry another
+    /// request and the endpoint may be sent one.
+    pub(super) async fn record_response(&self, endpoint: &Name, mut acquired: AcquiredConnection) {
+        let is_reusable = acquired.connection.is_reusable().await;
+        let mut endpoints = self.endpoints.borrow_mut();
+        let known = endpoints.get_mut(endpoint).filter(|known| known.address == acquired.address);
+        let Some(known) = known else { return };
+        known.last_response_at = Instant::now();
+        if is_reusable && known.is_ready {
+            self.connections.release(endpoint, acquired, known.last_response_at);
+        }
+    }
+
+    /// Closes the idle connections to an endpoint that has sent no response since an attempt began which
+    /// timed out.
+    ///
+    /// A machine that vanishes leaves its connections open: each would cost another request a timeout, while
+    /// a new connection fails quickly and before the request is written. An endpoint with a response since is
+    /// merely slow.
+    pub(super) fn record_timeout(&self, endpoint: &Name, attempt_began: Instant) {
+        let endpoints = self.endpoints.borrow();
+        if endpoints.get(endpoint).is_some_and(|known| known.last_response_at < attempt_began) {
+            self.connections.close_idle(endpoint);
+        }
+    }
+
+    /// Closes idle connections that have expired or that their endpoint has closed, once in a while. Never
+    /// returns.
+    pub async fn maintain_connections(self: Rc<Self>) {
+        loop {
+            sleep(MAINTENANCE_INTERVAL).await;
+            self.connections.close_expired();
+        }
+    }
+}
--- a/gateway/src/engine.rs
+++ b/gateway/src/engine.rs
@@ -3,7 +3,9 @@
 
 use crate::clock::{Clock, millis, span};
 use crate::counter::Counter;
-use crate::endpoint::{Answer, End, EndpointRegistry, Message};
+use crate::endpoint::{
+    Attempt, AttemptLimits, AttemptResult, EndpointRegistry, EndpointResponse, ForwardedRequest, check_health,
+};
 use crate::log;
 use crate::socket::Socket;
 use crate::task::spawn;
@@ -32,7 +34,7 @@
 #[derive(Debug)]
 pub enum Reply {
     /// What an endpoint answered.
-    Served(Answer),
+    Served(EndpointResponse),
     /// Harmless to try again, best after this time.
     Refused(Millis),
     /// No promise; true when the last attempt got no answer in time.
@@ -41,7 +43,7 @@
 
 /// A request without a final answer.
 struct Open {
-    message: Message,
+    message: ForwardedRequest,
     client: Socket,
     until: Instant,
     reply: oneshot::Sender<Reply>,
@@ -141,7 +143,8 @@
 
     /// Takes in a request; the reply comes once, unless the client, whose socket this is, leaves first.
     pub fn open(
-        &self, arrival: impl FnOnce(RequestId) -> Arrival, message: Message, client: Socket, until: Instant,
+        &self, arrival: impl FnOnce(RequestId) -> Arrival, message: ForwardedRequest, client: Socket,
+        until: Instant,
     ) -> (RequestId, oneshot::Receiver<Reply>) {
         let (reply, receiver) = oneshot::channel();
         let id = {
@@ -222,14 +225,14 @@
             Action::HealthCheck { endpoint } => {
                 let (endpoints, me, begun) = (self.endpoints.clone(), self.me.clone(), Instant::now());
                 spawn(async move {
-                    let End { outcome, load, .. } = endpoints.probe(&endpoint).await;
+                    let result = check_health(&endpoints, &endpoint).await;
                     if let Some(engine) = me.upgrade() {
                         let latency = millis(begun.elapsed());
                         engine.post(Event::HealthCheckEnded {
                             endpoint,
-                            outcome,
+                            outcome: result.outcome,
                             latency,
-                            load_report: load,
+                            load_report: result.load_report,
                         });
                     }
                 });
@@ -282,9 +285,11 @@
         let (message, client) = (request.message.clone(), request.client.clone());
         let (endpoints, me) = (self.endpoints.clone(), self.me.clone());
         spawn(async move {
-            let end = endpoints.attempt(&endpoint, message, until, written_by, called_off, &client).await;
+            let limits = AttemptLimits { deadline: until, write_deadline: written_by };
+            let attempt = Attempt::new(&endpoint, message, limits, called_off, &client);
+            let end = attempt.run(&endpoints).await;
             // So that nobody decides on a further attempt.
-            let left = end.answer.is_none() && client.has_left().await;
+            let left = end.response.is_none() && client.has_left().await;
             if let Some(engine) = me.upgrade() {
                 if left {
                     engine.client_left(id);
@@ -294,8 +299,8 @@
         });
     }
 
-    fn ended(&self, id: RequestId, attempt: u32, endpoint: Name, end: End, latency: Millis) {
-        let End { outcome, answer, load } = end;
+    fn ended(&self, id: RequestId, attempt: u32, endpoint: Name, end: AttemptResult, latency: Millis) {
+        let AttemptResult { outcome, response: answer, load_report: load } = end;
         self.state.borrow_mut().out.remove(&id);
         if let Some(answer) = answer {
             self.finish(id, |_| Reply::Served(answer));
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -103,7 +103,7 @@
     let server = Server::new(engine.clone(), &settings, most_clients);
     let seq = config.known.seq;
     discovery::tell(config.known, &endpoints, &engine);
-    spawn(endpoints.clone().keep_tidy());
+    spawn(endpoints.clone().maintain_connections());
     let (moved, discovery) = watch::channel(config.discovery);
     spawn(discovery::watch(discovery, seq, config.seed, config.pace, endpoints, engine.clone()));
     spawn(reload(signals.clone(), moved, engine));
--- a/gateway/tests/pool.rs
+++ b/gateway/tests/pool.rs
@@ -20,11 +20,11 @@
     }
     assert_eq!((pool.len(), pool.take(&c, rest)), (4, None));
     // The last to come still rests.
-    assert_eq!(pool.take(&a, Duration::from_millis(15)).map(|(n, _)| n), Some(3));
+    assert_eq!(pool.take(&a, Duration::from_millis(15)).map(|idle| idle.connection), Some(3));
     pool.evict();
     assert_eq!((pool.len(), pool.take(&a, rest)), (2, None));
     advance(rest).await;
-    assert_eq!(pool.take(&a, rest).map(|(n, _)| n), Some(4));
+    assert_eq!(pool.take(&a, rest).map(|idle| idle.connection), Some(4));
     pool.evict();
     pool.evict();
     assert!(pool.is_empty() && pool.take(&b, rest).is_none());
@@ -39,7 +39,7 @@
         advance(Duration::from_millis(10)).await;
     }
     let start = Instant::now();
-    pool.retain(|_, since| start - since < Duration::from_millis(25));
+    pool.retain(|idle| start - idle.idle_since < Duration::from_millis(25));
     assert_eq!((pool.len(), Rc::strong_count(&connection)), (2, 3));
     pool.clear(&a);
     pool.clear(&a);
