--- a/gateway/src/discovery/mod.rs
+++ b/gateway/src/discovery/mod.rs
@@ -5,7 +5,7 @@
 use crate::discovery::backoff::{CONNECT_TIMEOUT, Failure, Pace, Retry};
 use crate::endpoint::EndpointRegistry;
 use crate::engine::Engine;
-use crate::http_connection::{Connection, Progress};
+use crate::http_connection::{Connection, ExchangeError, ExchangeLimits};
 use crate::log;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -254,11 +254,13 @@
         let request = Request::get(uri).header("Host", address.to_string()).body(Full::<Bytes>::default());
         let Ok(request) = request else { return Fault::Lost("the call cannot be written") };
         let (begun, whole) = (Instant::now(), retry.whole());
-        let answer = timeout(retry.limit(wait), connection.exchange(request, LONGEST, whole, None)).await;
+        let limits =
+            ExchangeLimits { max_body_bytes: LONGEST, response_timeout: whole, write_deadline: None };
+        let answer = timeout(retry.limit(wait), connection.exchange(request, limits)).await;
         let list = match answer {
-            Ok(Ok((head, body))) if head.status == StatusCode::OK => List::parse(&body),
-            Ok(Ok((head, _))) => return Fault::TurnedAway(head.status),
-            Ok(Err(Progress::Spoilt)) if begun.elapsed() >= whole => return Fault::Unfinished,
+            Ok(Ok(response)) if response.status() == StatusCode::OK => List::parse(response.body()),
+            Ok(Ok(response)) => return Fault::TurnedAway(response.status()),
+            Ok(Err(ExchangeError::InvalidResponse)) if begun.elapsed() >= whole => return Fault::Unfinished,
             Ok(Err(_)) => return Fault::Lost("the connection broke"),
             Err(_) => return Fault::Silent,
         };
--- a/gateway/src/endpoint/attempt.rs
+++ b/gateway/src/endpoint/attempt.rs
@@ -10,8 +10,7 @@
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HOST, HeaderMap, HeaderValue};
 use hyper::http::uri::PathAndQuery;
-use hyper::http::{self, response};
-use hyper::{Method, Request, StatusCode};
+use hyper::{Method, Request, Response, StatusCode, http};
 use ryefront_policy::{Idempotency, LoadReport, LoadReportSource, Name, Outcome};
 use std::cell::RefCell;
 use std::future::{Future, poll_fn};
@@ -102,8 +101,10 @@
         // is known.
         let result = tokio::select! {
             biased;
-            response = exchange(endpoints, self.endpoint, &self) => response
-                .map_or_else(AttemptResult::from, |response| classify(response, endpoints.load_report_source())),
+            response = exchange(endpoints, self.endpoint, &self) => match response {
+                Ok(response) => classify(response, endpoints.load_report_source()),
+                Err(outcome) => outcome.into(),
+            },
             () = self.cancellation.requested() => Outcome::Cancelled.into(),
             () = sleep_until(self.limits.deadline) => Outcome::TimedOut.into(),
         };
@@ -176,10 +177,10 @@
 }
 
 /// Classifies a response.
-fn classify(
-    (mut head, body): (response::Parts, Bytes), load_report_source: LoadReportSource,
-) -> AttemptResult {
-    let is_marked_rejected = head.headers.get(REJECTED).is_some_and(|value| value == "1");
+fn classify(response: Response<Bytes>, load_report_source: LoadReportSource) -> AttemptResult {
+    let (head, body) = response.into_parts();
+    let mut headers = head.headers;
+    let is_marked_rejected = headers.get(REJECTED).is_some_and(|value| value == "1");
     let outcome = match head.status {
         StatusCode::OK => Outcome::Served,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_marked_rejected => {
@@ -188,16 +189,15 @@
         // With any other status the endpoint may have run the request, whatever the header says.
         _ => Outcome::Error,
     };
-    let load_report = head
-        .headers
+    let load_report = headers
         .remove(LOAD_REPORT)
         .filter(|_| load_report_source == LoadReportSource::Responses)
         .and_then(|report| report.to_str().ok().and_then(load_report::parse));
     let response = (outcome == Outcome::Served).then(|| {
         for name in CONNECTION_HEADERS {
-            head.headers.remove(name);
+            headers.remove(name);
         }
-        EndpointResponse { headers: head.headers, body }
+        EndpointResponse { headers, body }
     });
     AttemptResult { outcome, response, load_report }
 }
--- a/gateway/src/endpoint/exchange.rs
+++ b/gateway/src/endpoint/exchange.rs
@@ -3,11 +3,10 @@
 use crate::endpoint::connections::{AcquireError, AcquiredConnection};
 use crate::endpoint::registry::EndpointRegistry;
 use crate::endpoint::stale_connections::ExchangeResult;
-use crate::http_connection::{Connection, Progress};
+use crate::http_connection::{ExchangeError, ExchangeLimits};
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::Request;
-use hyper::http::{self, response};
+use hyper::{Request, Response, http};
 use ryefront_policy::{Idempotency, Name, Outcome};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -41,7 +40,7 @@
 /// When there is no response that can be used; says what is known of the request's fate.
 pub(super) async fn exchange(
     endpoints: &EndpointRegistry, endpoint: &Name, request: &impl EndpointRequest,
-) -> Result<(response::Parts, Bytes), Outcome> {
+) -> Result<Response<Bytes>, Outcome> {
     loop {
         let mut acquired = acquire(endpoints, endpoint, request.idempotency()).await?;
         request.check_may_begin().await?;
@@ -51,7 +50,8 @@
             return Err(Outcome::NotSent);
         }
         let message = request.build(acquired.address).map_err(|_| Outcome::NotSent)?;
-        let result = write_and_read(&mut acquired.connection, message, request.write_deadline()).await;
+        let limits = exchange_limits(request.write_deadline());
+        let result = acquired.connection.exchange(message, limits).await;
         endpoints.connections().record_exchange(acquired.idle, connection_health(&result));
         match result {
             Ok(response) => {
@@ -60,7 +60,7 @@
             }
             // The endpoint closed the idle connection just now. Nothing was written, so another connection is
             // no second attempt, and the endpoint is not to blame.
-            Err(Progress::Unsent) if acquired.idle.is_some() => {}
+            Err(ExchangeError::NotSent) if acquired.idle.is_some() => {}
             Err(error) => return Err(outcome_of(error)),
         }
     }
@@ -79,27 +79,25 @@
     })
 }
 
-async fn write_and_read(
-    connection: &mut Connection, message: Request<Full<Bytes>>, write_deadline: Option<Instant>,
-) -> Result<(response::Parts, Bytes), Progress> {
-    connection.exchange(message, MAX_BODY_BYTES, RESPONSE_TIMEOUT, write_deadline).await
+fn exchange_limits(write_deadline: Option<Instant>) -> ExchangeLimits {
+    ExchangeLimits { max_body_bytes: MAX_BODY_BYTES, response_timeout: RESPONSE_TIMEOUT, write_deadline }
 }
 
 /// What the end of an exchange says about connections of its kind.
-fn connection_health<T>(result: &Result<T, Progress>) -> ExchangeResult {
+fn connection_health<T>(result: &Result<T, ExchangeError>) -> ExchangeResult {
     match result {
-        Err(Progress::Whole | Progress::Partly) => ExchangeResult::ConnectionBroke,
-        Ok(_) | Err(Progress::Unsent | Progress::Spoilt) => ExchangeResult::Other,
+        Err(ExchangeError::Sent | ExchangeError::PartlySent) => ExchangeResult::ConnectionBroke,
+        Ok(_) | Err(ExchangeError::NotSent | ExchangeError::InvalidResponse) => ExchangeResult::Other,
     }
 }
 
 /// What a failed exchange means for the attempt.
-fn outcome_of(error: Progress) -> Outcome {
+fn outcome_of(error: ExchangeError) -> Outcome {
     match error {
-        Progress::Unsent | Progress::Partly => Outcome::ConnectFailed,
-        Progress::Whole => Outcome::ConnectionReset,
+        ExchangeError::NotSent | ExchangeError::PartlySent => Outcome::ConnectFailed,
+        ExchangeError::Sent => Outcome::ConnectionReset,
         // The endpoint is alive and may have run the request. No worse than an error response: endpoints that
         // all respond alike must not all be ejected for it.
-        Progress::Spoilt => Outcome::Error,
+        ExchangeError::InvalidResponse => Outcome::Error,
     }
 }
--- a/gateway/src/endpoint/health_check.rs
+++ b/gateway/src/endpoint/health_check.rs
@@ -38,8 +38,8 @@
     let request = HealthCheckRequest { path };
     let time_limit = endpoints.connections().connect_timeout();
     match timeout(time_limit, exchange(endpoints, endpoint, &request)).await {
-        Ok(Ok((head, body))) if head.status == StatusCode::OK => {
-            let load_report = std::str::from_utf8(&body).ok().and_then(load_report::parse);
+        Ok(Ok(response)) if response.status() == StatusCode::OK => {
+            let load_report = std::str::from_utf8(response.body()).ok().and_then(load_report::parse);
             HealthCheckResult { outcome: Outcome::Served, load_report }
         }
         Ok(Ok(_)) => Outcome::Error.into(),
--- a/gateway/tests/endpoints.rs
+++ b/gateway/tests/endpoints.rs
@@ -4,7 +4,7 @@
 
 use helper::{Do, Endpoint, Gateway, Mood, Setup, World, list, ok, pause, refusing, request, row};
 use http_body_util::Full;
-use ryefront_gateway::http_connection::{Connection, Progress};
+use ryefront_gateway::http_connection::{Connection, ExchangeError, ExchangeLimits};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -188,7 +188,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
     // Larger than any socket buffer, to a peer that reads little of it and closes: not written whole.
-    for (size, heard, progress) in [(64 << 20, 10, Progress::Partly), (10, 40, Progress::Whole)] {
+    for (size, heard, progress) in [(64 << 20, 10, ExchangeError::PartlySent), (10, 40, ExchangeError::Sent)]
+    {
         let mut connection = Connection::connect(at, Duration::from_secs(60)).await.expect("a connection");
         let (mut peer, _) = listener.accept().await.expect("a connection");
         let request = hyper::Request::post("/x").body(Full::from(vec![b'x'; size])).expect("a request");
@@ -197,7 +198,9 @@
             peer.read_exact(&mut bytes).await.expect("bytes");
             pause(100).await;
         };
-        let (end, ()) = tokio::join!(connection.exchange(request, 100, helper::LONG, None), close);
+        let limits =
+            ExchangeLimits { max_body_bytes: 100, response_timeout: helper::LONG, write_deadline: None };
+        let (end, ()) = tokio::join!(connection.exchange(request, limits), close);
         assert_eq!(end.expect_err("a broken connection"), progress);
         assert!(!connection.is_alive());
     }
--- a/gateway/tests/repeats.rs
+++ b/gateway/tests/repeats.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use helper::{Do, Endpoint, Mood, Setup, World, hear, ok, pause, request, row};
 use http_body_util::Full;
-use ryefront_gateway::http_connection::{Connection, Progress};
+use ryefront_gateway::http_connection::{Connection, ExchangeError, ExchangeLimits};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::time::Duration;
@@ -20,6 +20,14 @@
     hyper::Request::post("/x").body(Full::from(vec![b'x'; size])).expect("a request")
 }
 
+fn written_by(write_deadline: Instant) -> ExchangeLimits {
+    ExchangeLimits {
+        max_body_bytes: 100,
+        response_timeout: helper::LONG,
+        write_deadline: Some(write_deadline),
+    }
+}
+
 #[tokio::test]
 async fn what_is_not_written_whole_in_time_never_becomes_whole() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -27,8 +35,8 @@
     let mut connection = Connection::connect(at, helper::LONG).await.expect("a connection");
     let (mut peer, _) = listener.accept().await.expect("a connection");
     let by = Instant::now() + Duration::from_millis(200);
-    let end = connection.exchange(post(LARGE), 100, helper::LONG, Some(by)).await;
-    assert_eq!(end.expect_err("given up"), Progress::Partly);
+    let end = connection.exchange(post(LARGE), written_by(by)).await;
+    assert_eq!(end.expect_err("given up"), ExchangeError::PartlySent);
     assert!(Instant::now() >= by);
     drop(connection);
     // The reader wakes up when the time is over.
@@ -51,8 +59,8 @@
         peer
     };
     let by = Instant::now() + Duration::from_millis(300);
-    let (end, _peer) = tokio::join!(connection.exchange(post(10), 100, helper::LONG, Some(by)), answer);
-    assert_eq!(end.expect("an answer").1, "x");
+    let (end, _peer) = tokio::join!(connection.exchange(post(10), written_by(by)), answer);
+    assert_eq!(end.expect("an answer").body(), "x");
 }
 
 /// A server that answers each request in pieces, a pause before each.
