--- a/gateway/src/client/mod.rs
+++ b/gateway/src/client/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::millis;
 use crate::endpoint::{ForwardedRequest, MAX_BODY_BYTES};
-use crate::engine::{Engine, Reply};
+use crate::engine::{Engine, FinalAnswer};
 use crate::socket::{Socket, is_local};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -260,7 +260,7 @@
             // one, so new ones must still be taken.
             close.send_modify(|round| *round += 1);
             sleep(LINGER / 2).await;
-            self.engine.hand_back(HAND_BACK).await;
+            self.engine.return_leases(HAND_BACK).await;
         };
         let mut ended = pin!(ended);
         loop {
@@ -276,7 +276,7 @@
         let mut quiet = Instant::now();
         while !self.connections.borrow().is_empty() && quiet.elapsed() < LAST_WORDS {
             let _ = timeout(LAST_WORDS / 10, self.left.notified()).await;
-            if self.engine.waiting() > 0 {
+            if self.engine.requests_in_progress() > 0 {
                 quiet = Instant::now();
             }
         }
@@ -586,7 +586,7 @@
         let margin = MARGIN.min(patience.mul_f64(MARGIN_SHARE));
         let (patience, now) = (patience - margin, Instant::now());
         let patience_ms = millis(patience);
-        let (id, reply) = self.engine.open(
+        let (id, reply) = self.engine.submit(
             |id| Arrival {
                 id,
                 tenant,
@@ -611,12 +611,12 @@
         };
         drop(waiting);
         match reply {
-            Some(Ok(Reply::Served(answer))) => {
+            Some(Ok(FinalAnswer::Served(answer))) => {
                 let mut response = Response::new(Full::new(answer.body));
                 *response.headers_mut() = answer.headers;
                 response
             }
-            Some(Ok(Reply::Refused(wait))) => {
+            Some(Ok(FinalAnswer::Rejected { retry_after: wait })) => {
                 let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused, try again later\n");
                 if wait > 0.0
                     && let Ok(wait) = HeaderValue::from_str(&format!("{:.3}", wait / 1000.0))
@@ -625,8 +625,12 @@
                 }
                 response
             }
-            Some(Ok(Reply::Failed(false)) | Err(_)) => plain(StatusCode::BAD_GATEWAY, "failed\n"),
-            Some(Ok(Reply::Failed(true))) | None => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
+            Some(Ok(FinalAnswer::Failed { timed_out: false }) | Err(_)) => {
+                plain(StatusCode::BAD_GATEWAY, "failed\n")
+            }
+            Some(Ok(FinalAnswer::Failed { timed_out: true })) | None => {
+                plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
+            }
         }
     }
 }
@@ -640,7 +644,7 @@
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        self.engine.client_left(self.id);
+        self.engine.client_disconnected(self.id);
     }
 }
 
--- a/gateway/src/clock.rs
+++ b/gateway/src/clock.rs
@@ -1,36 +1,36 @@
-//! The one clock of a gateway.
+//! The gateway's clock, and conversions between its milliseconds and durations.
 
 use ryefront_policy::Millis;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix time in milliseconds. Count names are made of window numbers, so all gateways must agree on it; it is
-/// read once from the system and then advanced by the steady clock, so that it never jumps or runs back.
+/// Unix time that is read once from the system and then advanced by the monotonic clock, so that it never
+/// jumps or runs backwards. Counter keys contain window numbers, so all gateways need the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    unix: Duration,
+    unix_time_at_start: Duration,
     start: Instant,
 }
 
 impl Clock {
-    /// Anchors the clock to the system's time now.
-    pub fn anchored() -> Self {
-        // A system time before 1970 is no time at all: count from zero rather than fail.
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { unix, start: Instant::now() }
+    /// A clock that shows the system's time now.
+    pub fn from_system_time() -> Self {
+        // A system time before 1970 is certainly wrong: the clock starts at zero rather than fail.
+        let unix_time_at_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Self { unix_time_at_start, start: Instant::now() }
     }
 
-    /// The time now.
+    /// The time now, in milliseconds since 1970.
     pub fn now(&self) -> Millis {
-        (self.unix + self.start.elapsed()).as_secs_f64() * 1000.0
+        millis(self.unix_time_at_start + self.start.elapsed())
     }
 }
 
-/// A span of milliseconds as a duration; what is negative or no number is zero.
-pub fn span(millis: Millis) -> Duration {
+/// Converts milliseconds to a duration; values that a duration cannot represent become zero.
+pub fn duration(millis: Millis) -> Duration {
     Duration::try_from_secs_f64(millis / 1000.0).unwrap_or_default()
 }
 
-/// A duration in milliseconds.
-pub fn millis(span: Duration) -> Millis {
-    span.as_secs_f64() * 1000.0
+/// Converts a duration to milliseconds.
+pub fn millis(duration: Duration) -> Millis {
+    duration.as_secs_f64() * 1000.0
 }
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -1,6 +1,6 @@
 //! What a gateway is told at its start: the environment and the file that `NODE_CONFIG` names.
 
-use crate::clock::{millis, span};
+use crate::clock::{duration, millis};
 use crate::discovery::backoff::Pace;
 use crate::discovery::{List, ListError};
 use ryefront_policy::Settings;
@@ -141,11 +141,11 @@
         let mut settings = ryefront_settings::read(&file.settings).map_err(ConfigError::Settings)?;
         let permissions = Object::of(&file.settings, "permissions").map_err(ConfigError::Settings)?;
         let time = |key, usual| match permissions.number(key).map_err(ConfigError::Settings)? {
-            ms if ms > 0.0 => Ok(span(ms)),
+            ms if ms > 0.0 => Ok(duration(ms)),
             _ => Ok(usual),
         };
         let rules = Object::of(&file.settings, "rules").map_err(ConfigError::Settings)?;
-        let grace = span(rules.number("drain-grace-ms").map_err(ConfigError::Settings)?);
+        let grace = duration(rules.number("drain-grace-ms").map_err(ConfigError::Settings)?);
         let pace = Pace::of(!settings.polls_endpoints, grace);
         let known = match &file.known {
             Value::Null => List { seq: 0, whole: true, hosts: Vec::new() },
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! A quota gateway on real sockets: one process, one thread.
 //!
-//! The decisions are those of [`ryefront_policy`]; [`engine`] passes events to them and performs their actions. The
-//! other modules move bytes: [`client`] accepts requests, [`endpoint`] forwards attempts, [`counter`] calls the shared
-//! counter, and [`discovery`] follows the endpoint list.
+//! The decisions are those of [`ryefront_policy`]; [`engine`] passes events to them and performs their
+//! actions. The other modules move bytes: [`client`] accepts requests, [`endpoint`] forwards attempts,
+//! [`counter`] calls the shared counter, and [`discovery`] follows the endpoint list.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -14,9 +14,11 @@
 pub mod discovery;
 pub mod endpoint;
 pub mod engine;
+pub mod fleet_clock;
 pub mod headers;
 pub mod http_connection;
 pub mod log;
+mod request_table;
 pub mod signals;
 pub mod socket;
 pub mod task;
--- /dev/null
+++ b/gateway/src/request_table.rs
@@ -0,0 +1,180 @@
+//! The requests without a final answer, and their attempts that have not ended.
+
+use crate::clock::duration;
+use crate::endpoint::{AttemptLimits, EndpointResponse, ForwardedRequest};
+use crate::socket::Socket;
+use ryefront_policy::{Millis, Outcome, RequestId};
+use std::collections::HashMap;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+/// The final answer to a request.
+#[derive(Debug)]
+pub enum FinalAnswer {
+    /// An endpoint served the request.
+    Served(EndpointResponse),
+    /// The request was rejected; a retry is harmless.
+    Rejected {
+        /// How long the client should wait before it retries.
+        retry_after: Millis,
+    },
+    /// The request failed and may have run.
+    Failed {
+        /// Whether its last attempt timed out.
+        timed_out: bool,
+    },
+}
+
+/// A request without a final answer.
+pub(crate) struct RequestInProgress {
+    request: ForwardedRequest,
+    client: Socket,
+    deadline: Instant,
+    answer: oneshot::Sender<FinalAnswer>,
+    attempts_started: u32,
+    last_attempt_timed_out: bool,
+}
+
+impl RequestInProgress {
+    /// Whether the attempt that ended last timed out.
+    pub(crate) fn last_attempt_timed_out(&self) -> bool {
+        self.last_attempt_timed_out
+    }
+
+    /// Passes the final answer on to the client.
+    pub(crate) fn finish(self, answer: FinalAnswer) {
+        // Fails if nobody waits any more, as the client's own timeout has answered it.
+        let _ = self.answer.send(answer);
+    }
+}
+
+/// An attempt that has not ended.
+struct AttemptInFlight {
+    number: u32,
+    /// Taken by the first cancellation.
+    cancel: Option<oneshot::Sender<()>>,
+}
+
+impl AttemptInFlight {
+    fn cancel(&mut self) {
+        if let Some(cancel) = self.cancel.take() {
+            // Fails if the attempt has just ended.
+            let _ = cancel.send(());
+        }
+    }
+}
+
+/// How long an attempt may take, from its start; `None` for no limit of its own.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct AttemptTimeouts {
+    /// Until it ends.
+    pub(crate) total: Option<Millis>,
+    /// Until its last byte is written.
+    pub(crate) write: Option<Millis>,
+}
+
+/// What an attempt needs that was entered into the table.
+pub(crate) struct StartedAttempt {
+    /// Its number among the attempts of its request, from 0.
+    pub(crate) number: u32,
+    /// When it started.
+    pub(crate) started_at: Instant,
+    /// What to send.
+    pub(crate) request: ForwardedRequest,
+    /// The client that waits for it.
+    pub(crate) client: Socket,
+    /// When it must have ended.
+    pub(crate) limits: AttemptLimits,
+    /// Resolves when it is cancelled.
+    pub(crate) cancelled: oneshot::Receiver<()>,
+}
+
+/// The requests in progress and the attempts in flight: at most one of each request.
+#[derive(Default)]
+pub(crate) struct RequestTable {
+    requests: HashMap<RequestId, RequestInProgress>,
+    /// By request. An attempt may outlive its request.
+    attempts: HashMap<RequestId, AttemptInFlight>,
+    last_id: RequestId,
+}
+
+impl RequestTable {
+    /// Adds a request, to be answered by the deadline; its final answer comes through the receiver.
+    pub(crate) fn insert(
+        &mut self, request: ForwardedRequest, client: Socket, deadline: Instant,
+    ) -> (RequestId, oneshot::Receiver<FinalAnswer>) {
+        let (answer, receiver) = oneshot::channel();
+        self.last_id += 1;
+        let in_progress = RequestInProgress {
+            request,
+            client,
+            deadline,
+            answer,
+            attempts_started: 0,
+            last_attempt_timed_out: false,
+        };
+        self.requests.insert(self.last_id, in_progress);
+        (self.last_id, receiver)
+    }
+
+    /// The number of requests in progress.
+    pub(crate) fn len(&self) -> usize {
+        self.requests.len()
+    }
+
+    /// Whether a request is in progress.
+    pub(crate) fn contains(&self, id: RequestId) -> bool {
+        self.requests.contains_key(&id)
+    }
+
+    /// Removes a request that is in progress. Whoever removes it gives its final answer: there is no other.
+    pub(crate) fn remove(&mut self, id: RequestId) -> Option<RequestInProgress> {
+        self.requests.remove(&id)
+    }
+
+    /// Starts an attempt of a request that is in progress and has no attempt in flight.
+    pub(crate) fn start_attempt(
+        &mut self, id: RequestId, timeouts: AttemptTimeouts,
+    ) -> Option<StartedAttempt> {
+        if self.attempts.contains_key(&id) {
+            return None;
+        }
+        let in_progress = self.requests.get_mut(&id)?;
+        let started_at = Instant::now();
+        let number = in_progress.attempts_started;
+        in_progress.attempts_started += 1;
+        let (cancel, cancelled) = oneshot::channel();
+        self.attempts.insert(id, AttemptInFlight { number, cancel: Some(cancel) });
+        let own_deadline = timeouts.total.map(|timeout| started_at + duration(timeout));
+        let limits = AttemptLimits {
+            deadline: own_deadline.map_or(in_progress.deadline, |own| in_progress.deadline.min(own)),
+            write_deadline: timeouts.write.map(|timeout| started_at + duration(timeout)),
+        };
+        let request = in_progress.request.clone();
+        let client = in_progress.client.clone();
+        Some(StartedAttempt { number, started_at, request, client, limits, cancelled })
+    }
+
+    /// Cancels the attempt with this number, if it is in flight.
+    pub(crate) fn cancel_attempt(&mut self, id: RequestId, number: u32) {
+        let attempt = self.attempts.get_mut(&id).filter(|attempt| attempt.number == number);
+        attempt.map(AttemptInFlight::cancel);
+    }
+
+    /// Cancels the attempt of a request, if one is in flight.
+    pub(crate) fn cancel_any_attempt(&mut self, id: RequestId) {
+        self.attempts.get_mut(&id).map(AttemptInFlight::cancel);
+    }
+
+    /// Removes the attempt of a request that has ended.
+    pub(crate) fn remove_attempt(&mut self, id: RequestId) {
+        self.attempts.remove(&id);
+    }
+
+    /// Records how the last attempt of a request ended, if the request is in progress.
+    pub(crate) fn record_outcome(&mut self, id: RequestId, outcome: Outcome) {
+        if let Some(in_progress) = self.requests.get_mut(&id) {
+            in_progress.last_attempt_timed_out = outcome == Outcome::TimedOut;
+        }
+    }
+}
