--- a/gateway/src/endpoint/attempt.rs
+++ b/gateway/src/endpoint/attempt.rs
@@ -45,7 +45,7 @@
 pub struct AttemptLimits {
     /// The attempt ends at this time at the latest, and nothing is written from then on.
     pub deadline: Instant,
-    /// The request's last byte is written before this time, or the attempt is given up.
+    /// The request's last byte is written before this time, or the attempt is abandoned.
     pub write_deadline: Option<Instant>,
 }
 
@@ -85,7 +85,7 @@
 }
 
 impl<'a> Attempt<'a> {
-    /// An attempt that is given up when `cancelled` resolves, and not begun once the `client` has
+    /// An attempt that is abandoned when `cancelled` resolves, and not started once the `client` has
     /// disconnected.
     pub fn new(
         endpoint: &'a Name, request: ForwardedRequest, limits: AttemptLimits,
@@ -130,7 +130,7 @@
         self.limits.write_deadline
     }
 
-    /// The connection may have been established in the same turn of the event loop in which the client
+    /// The connection may have been established in the same iteration of the event loop in which the client
     /// disconnected, the attempt was cancelled, or its time ended: so each is checked.
     async fn check_may_begin(&self) -> Result<(), Outcome> {
         if self.client.has_left().await || self.cancellation.is_requested() {
--- a/gateway/src/endpoint/connection_limit.rs
+++ b/gateway/src/endpoint/connection_limit.rs
@@ -15,7 +15,7 @@
         Self { max_open, in_use: Rc::default() }
     }
 
-    /// Reserves a slot for a connection in use, unless all are taken.
+    /// Reserves a slot for a connection in use, unless none is free.
     pub(super) fn reserve(&self) -> Option<ConnectionSlot> {
         let in_use = self.in_use.get();
         if in_use >= self.max_open {
--- a/gateway/src/endpoint/connections.rs
+++ b/gateway/src/endpoint/connections.rs
@@ -26,7 +26,7 @@
     /// As many connections are in use as the gateway may open.
     #[error("the limit on connections in use is reached")]
     LimitReached,
-    /// The gateway's own machine lacks something; this says nothing about the endpoint.
+    /// This machine lacks something, such as file descriptors; this says nothing about the endpoint.
     #[error("the connection could not be started on this machine")]
     Local,
     /// The endpoint refused, could not be reached, or did not respond in time.
@@ -128,9 +128,9 @@
         self.pool.borrow_mut().retain(is_usable);
     }
 
-    /// Takes the newest idle connection that is alive and not likely stale. Those passed over are closed: a
-    /// non-idempotent request written to a connection that its endpoint closes could neither be served nor
-    /// retried.
+    /// Takes the most recently used idle connection that is alive and not likely stale. Those passed over are
+    /// closed: a non-idempotent request written to a connection that its endpoint closes could neither be
+    /// served nor retried.
     fn take_reusable(&self, endpoint: &Name, idempotency: Idempotency) -> Option<ReusableConnection> {
         let mut pool = self.pool.borrow_mut();
         while let Some(IdleConnection { connection, idle_since }) = pool.take(endpoint, MIN_IDLE) {
--- a/gateway/src/endpoint/exchange.rs
+++ b/gateway/src/endpoint/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to an endpoint and its response, on a connection that the exchange acquires and gives back.
+//! One request to an endpoint and its response, on a connection that the exchange acquires and releases.
 
 use crate::endpoint::connections::{AcquireError, AcquiredConnection};
 use crate::endpoint::registry::EndpointRegistry;
@@ -22,7 +22,7 @@
     /// Whether it may be run twice.
     fn idempotency(&self) -> Idempotency;
 
-    /// The time by which it must be written completely, or is given up.
+    /// The time by which it must be written completely, or is abandoned.
     fn write_deadline(&self) -> Option<Instant>;
 
     /// Checks, once a connection is established, that the request may still be written.
--- a/gateway/src/endpoint/stale_connections.rs
+++ b/gateway/src/endpoint/stale_connections.rs
@@ -15,14 +15,14 @@
 const FIRST_BUCKET_END: Duration = Duration::from_millis(25);
 /// Each further bucket ends at this many times the idle time of the one before.
 const BUCKET_GROWTH: u128 = 4;
-/// The weight of the newest exchange in a failure rate.
-const NEWEST_WEIGHT: f64 = 0.1;
+/// The weight of the latest exchange in a failure rate.
+const SAMPLE_WEIGHT: f64 = 0.1;
 /// By how much the failure rate of reused connections may exceed that of new ones, for idempotent requests.
 const FAILURE_MARGIN: f64 = 0.05;
 /// The same for non-idempotent requests.
 const FAILURE_MARGIN_NON_IDEMPOTENT: f64 = 0.02;
 /// A bucket's failure rate decays by this fraction whenever it forbids a reuse, so that reuse is tried again.
-const REFUSAL_DECAY: f64 = 0.02;
+const DISTRUST_DECAY: f64 = 0.02;
 
 /// Failure rates of exchanges: on new connections, and on reused ones by idle time.
 #[derive(Default)]
@@ -39,7 +39,7 @@
             ExchangeResult::Other => 0.0,
         };
         let rate = idle.map_or(&mut self.new, |idle| &mut self.reused[bucket(idle)]);
-        *rate += NEWEST_WEIGHT * (failure - *rate);
+        *rate += SAMPLE_WEIGHT * (failure - *rate);
     }
 
     /// Whether a connection that has been idle that long may carry a request.
@@ -51,7 +51,7 @@
         let rate = &mut self.reused[bucket(idle)];
         let is_allowed = *rate <= self.new + margin;
         if !is_allowed {
-            *rate *= 1.0 - REFUSAL_DECAY;
+            *rate *= 1.0 - DISTRUST_DECAY;
         }
         is_allowed
     }
--- a/gateway/src/engine.rs
+++ b/gateway/src/engine.rs
@@ -25,8 +25,8 @@
 
 pub use crate::request_table::FinalAnswer;
 
-/// A counter call is given up after this many times the settings' counter timeout. A counter that is merely
-/// slow still adds, and a lease block whose call was given up is used by nobody. No request waits as long:
+/// A counter call is abandoned after this many times the settings' counter timeout. A counter that is merely
+/// slow still adds, and a lease block whose call was abandoned is used by nobody. No request waits as long:
 /// the policy bounds its wait by its latency objective.
 const COUNTER_TIMEOUT_MULTIPLE: u32 = 4;
 
--- a/gateway/src/http_connection/instrumented_stream.rs
+++ b/gateway/src/http_connection/instrumented_stream.rs
@@ -1,4 +1,4 @@
-//! The socket as the HTTP library sees it, recording how far the current exchange has got.
+//! The socket as the HTTP library sees it, recording the progress of the current exchange.
 //!
 //! The HTTP library reports an error without saying how much of the request was written or whether a response
 //! had begun. Both decide whether a request may be retried, so they are recorded here, from the bytes
--- a/gateway/src/http_connection/mod.rs
+++ b/gateway/src/http_connection/mod.rs
@@ -1,6 +1,6 @@
 //! One HTTP/1.1 connection to a server.
 //!
-//! A connection has no task of its own: it makes progress only while its user polls it. It sends nothing
+//! A connection has no background task: it makes progress only while its user polls it. It sends nothing
 //! twice, and it is closed at the moment it is dropped.
 
 mod error;
@@ -32,7 +32,7 @@
     /// How long after its first byte a response must be complete. Without it a response shorter than it
     /// announces would be waited for indefinitely.
     pub response_timeout: Duration,
-    /// The time by which the request must be written completely, or is given up.
+    /// The time by which the request must be written completely, or is abandoned.
     pub write_deadline: Option<Instant>,
 }
 
@@ -111,7 +111,7 @@
     }
 }
 
-/// Waits for something that the connection brings about, and polls the connection meanwhile.
+/// Waits for a future that needs the connection to make progress, and polls the connection meanwhile.
 async fn drive<T>(driver: &mut Driver, wanted: impl Future<Output = T>) -> T {
     let mut wanted = pin!(wanted);
     poll_fn(|cx| {
--- a/gateway/src/request_table.rs
+++ b/gateway/src/request_table.rs
@@ -43,7 +43,7 @@
 
     /// Passes the final answer on to the client.
     pub(crate) fn finish(self, answer: FinalAnswer) {
-        // Fails if nobody waits any more, as the client's own timeout has answered it.
+        // Fails if nobody waits any more, as the client has had a response at its deadline.
         let _ = self.answer.send(answer);
     }
 }
@@ -51,7 +51,7 @@
 /// An attempt that has not ended.
 struct AttemptInFlight {
     number: u32,
-    /// Taken by the first cancellation.
+    /// `None` once it is cancelled.
     cancel: Option<oneshot::Sender<()>>,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// How long an attempt may take, from its start; `None` for no limit of its own.
+/// How long an attempt may take, from its start; `None` for no other limit than the request's.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptTimeouts {
     /// Until it ends.
@@ -73,7 +73,7 @@
     pub(crate) write: Option<Millis>,
 }
 
-/// What an attempt needs that was entered into the table.
+/// An attempt that was added to the table, with all it needs to run.
 pub(crate) struct StartedAttempt {
     /// Its number among the attempts of its request, from 0.
     pub(crate) number: u32,
@@ -145,9 +145,10 @@
         in_progress.attempts_started += 1;
         let (cancel, cancelled) = oneshot::channel();
         self.attempts.insert(id, AttemptInFlight { number, cancel: Some(cancel) });
-        let own_deadline = timeouts.total.map(|timeout| started_at + duration(timeout));
+        let attempt_deadline = timeouts.total.map(|timeout| started_at + duration(timeout));
         let limits = AttemptLimits {
-            deadline: own_deadline.map_or(in_progress.deadline, |own| in_progress.deadline.min(own)),
+            deadline: attempt_deadline
+                .map_or(in_progress.deadline, |deadline| in_progress.deadline.min(deadline)),
             write_deadline: timeouts.write.map(|timeout| started_at + duration(timeout)),
         };
         let request = in_progress.request.clone();
