--- a/fleet/src/endpoint_list.rs
+++ b/fleet/src/endpoint_list.rs
@@ -58,7 +58,7 @@
     }
 
     pub(crate) fn apply(&self, list: &EndpointList) {
-        self.0.update(&list.0);
+        self.0.apply(&list.0);
     }
 
     pub(crate) fn shared(&self) -> Rc<EndpointRegistry> {
--- a/gateway/src/client/handler.rs
+++ b/gateway/src/client/handler.rs
@@ -99,7 +99,7 @@
             return Err(RequestError::AmbiguousLength);
         }
         let request = self.parser.parse(request).await?;
-        let id = self.reserve_id(request.message.id.clone())?;
+        let id = self.reserve_id(request.forwarded.request_id.clone())?;
         Ok((request, id))
     }
 
--- a/gateway/src/client/request.rs
+++ b/gateway/src/client/request.rs
@@ -1,6 +1,6 @@
 //! Parses and validates a client's request.
 
-use crate::endpoint::{LARGEST_BODY, Message};
+use crate::endpoint::{ForwardedRequest, MAX_BODY_BYTES};
 use crate::headers::{
     CLIENT_RETRY, DEADLINE_MS, IDEMPOTENCY_KEY, PLAN, REQUEST_ID, TENANT, TERMS, TERMS_FIRST_GATEWAY,
     TERMS_GATEWAYS, TERMS_UNITS,
@@ -62,7 +62,7 @@
     #[error("unexpected body")]
     UnexpectedBody,
     /// The body is too large.
-    #[error("the body is too large, expected at most {LARGEST_BODY} bytes")]
+    #[error("the body is too large, expected at most {MAX_BODY_BYTES} bytes")]
     BodyTooLarge,
     /// The body ended early or has invalid chunks.
     #[error("the body cannot be read")]
@@ -88,7 +88,7 @@
     pub(super) terms: Terms,
     pub(super) client_retry: bool,
     pub(super) time_to_deadline: Duration,
-    pub(super) message: Message,
+    pub(super) forwarded: ForwardedRequest,
 }
 
 /// The units of a request and the gateways that serve its tenant.
@@ -137,7 +137,7 @@
         if head.method == Method::GET {
             return Err(RequestError::UnexpectedBody);
         }
-        parsed.message.body = read_body(body).await?;
+        parsed.forwarded.body = read_body(body).await?;
         Ok(parsed)
     }
 
@@ -154,12 +154,12 @@
             time_to_deadline: time_to_deadline(headers)?,
             client_retry: client_retry(headers)?,
             terms: self.terms(headers)?,
-            message: Message {
+            forwarded: ForwardedRequest {
                 method: head.method.clone(),
                 target: target.clone(),
-                id: id.clone(),
-                key: key.cloned(),
-                kind: headers.get(CONTENT_TYPE).cloned(),
+                request_id: id.clone(),
+                idempotency_key: key.cloned(),
+                content_type: headers.get(CONTENT_TYPE).cloned(),
                 body: Bytes::new(),
             },
         })
@@ -305,10 +305,10 @@
 }
 
 async fn read_body(body: Incoming) -> Result<Bytes, RequestError> {
-    if body.size_hint().lower() > LARGEST_BODY as u64 {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(RequestError::BodyTooLarge);
     }
-    match Limited::new(body, LARGEST_BODY).collect().await {
+    match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLarge),
         Err(_) => Err(RequestError::UnreadableBody),
--- a/gateway/src/client/response.rs
+++ b/gateway/src/client/response.rs
@@ -3,7 +3,7 @@
 use crate::client::request::{ParsedRequest, RequestError};
 use crate::client::shutdown::Shutdown;
 use crate::clock::millis;
-use crate::engine::{Engine, Reply};
+use crate::engine::{Engine, FinalAnswer};
 use crate::socket::SharedStream;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -59,16 +59,16 @@
     /// Submits a request and returns its final answer, by its deadline even if the engine has none.
     pub(super) async fn answer(&self, request: ParsedRequest, client: SharedStream) -> HttpResponse {
         let deadlines = Deadlines::new(request.time_to_deadline);
-        let (id, reply) = self.submit(request, client, &deadlines);
+        let (id, answer) = self.submit(request, client, &deadlines);
         let submitted = SubmittedRequest { engine: &self.engine, id };
-        let reply = tokio::select! {
+        let answer = tokio::select! {
             biased;
-            reply = timeout_at(deadlines.backstop, reply) => reply.ok(),
+            answer = timeout_at(deadlines.backstop, answer) => answer.ok(),
             () = self.shutdown.final_answers_due() => None,
         };
         drop(submitted);
-        match reply {
-            Some(Ok(reply)) => final_answer(reply),
+        match answer {
+            Some(Ok(answer)) => final_answer(answer),
             Some(Err(_)) => failed(),
             None => timed_out(),
         }
@@ -76,8 +76,8 @@
 
     fn submit(
         &self, request: ParsedRequest, client: SharedStream, deadlines: &Deadlines,
-    ) -> (RequestId, oneshot::Receiver<Reply>) {
-        let ParsedRequest { class, plan, tenant, terms, client_retry, message, .. } = request;
+    ) -> (RequestId, oneshot::Receiver<FinalAnswer>) {
+        let ParsedRequest { class, plan, tenant, terms, client_retry, forwarded, .. } = request;
         let time_to_deadline = millis(deadlines.time_for_policy);
         let arrival = |id| Arrival {
             id,
@@ -90,7 +90,7 @@
             first_gateway: terms.first_gateway,
             gateways_per_tenant: terms.gateways_per_tenant,
         };
-        self.engine.open(arrival, message, client, deadlines.policy_deadline)
+        self.engine.submit(arrival, forwarded, client, deadlines.policy_deadline)
     }
 }
 
@@ -103,20 +103,20 @@
 
 impl Drop for SubmittedRequest<'_> {
     fn drop(&mut self) {
-        self.engine.client_left(self.id);
+        self.engine.client_disconnected(self.id);
     }
 }
 
-fn final_answer(reply: Reply) -> HttpResponse {
-    match reply {
-        Reply::Served(answer) => {
-            let mut response = Response::new(Full::new(answer.body));
-            *response.headers_mut() = answer.headers;
+fn final_answer(answer: FinalAnswer) -> HttpResponse {
+    match answer {
+        FinalAnswer::Served(served) => {
+            let mut response = Response::new(Full::new(served.body));
+            *response.headers_mut() = served.headers;
             response
         }
-        Reply::Refused(retry_after) => rejected(retry_after),
-        Reply::Failed(false) => failed(),
-        Reply::Failed(true) => timed_out(),
+        FinalAnswer::Rejected { retry_after } => rejected(retry_after),
+        FinalAnswer::Failed { timed_out: false } => failed(),
+        FinalAnswer::Failed { timed_out: true } => timed_out(),
     }
 }
 
--- a/gateway/src/client/shutdown.rs
+++ b/gateway/src/client/shutdown.rs
@@ -120,7 +120,7 @@
         sleep(LINGER / 2).await;
 
         self.enter(ShutdownPhase::ReturningLeases);
-        engine.hand_back(LEASE_RETURN_TIME).await;
+        engine.return_leases(LEASE_RETURN_TIME).await;
     }
 
     /// Serves the connections in the accept queue and closes the listener.
@@ -136,7 +136,7 @@
         let mut answered_since = Instant::now();
         while !connections.is_empty() && answered_since.elapsed() < CLOSE_TIMEOUT {
             let _ = timeout(CLOSE_CHECK_INTERVAL, connections.removed()).await;
-            if engine.waiting() > 0 {
+            if engine.requests_in_progress() > 0 {
                 answered_since = Instant::now();
             }
         }
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of a gateway: the environment, and the JSON file that `NODE_CONFIG` names.
 
-use crate::clock::{millis, span};
+use crate::clock::{duration, millis};
 use crate::discovery::backoff::{DiscoveryService, PollTiming};
 use crate::discovery::{EndpointList, EndpointListError};
 use ryefront_policy::{Millis, Settings};
@@ -195,7 +195,7 @@
 }
 
 fn duration_or(default: Duration, configured: Millis) -> Duration {
-    if configured > 0.0 { span(configured) } else { default }
+    if configured > 0.0 { duration(configured) } else { default }
 }
 
 fn address(key: &'static str, text: Option<String>) -> Result<SocketAddr, ParseError> {
@@ -224,5 +224,5 @@
     let drain_grace = Object::of(file_settings, "rules")?.number("drain-grace-ms")?;
     let service =
         if settings.polls_endpoints { DiscoveryService::Shared } else { DiscoveryService::LocalAgent };
-    Ok(PollTiming::new(service, span(drain_grace)))
+    Ok(PollTiming::new(service, duration(drain_grace)))
 }
--- a/gateway/src/discovery/watch.rs
+++ b/gateway/src/discovery/watch.rs
@@ -5,7 +5,7 @@
 use crate::discovery::backoff::{CONNECT_TIMEOUT, PollBackoff, PollFailure, PollTiming};
 use crate::discovery::endpoint_list::{EndpointList, EndpointListError, MAX_LIST_BYTES};
 use crate::headers::ENDPOINT_LIST_PATH;
-use crate::http_connection::{Connection, Progress};
+use crate::http_connection::{Connection, ExchangeError, ExchangeLimits};
 use crate::log;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -185,20 +185,25 @@
 ) -> Result<EndpointList, WatchError> {
     let started_at = Instant::now();
     let completion_timeout = backoff.completion_timeout();
-    let exchange = connection.exchange(request, MAX_LIST_BYTES, completion_timeout, None);
-    let (head, body) = match timeout(backoff.poll_timeout(wait), exchange).await {
+    let limits = ExchangeLimits {
+        max_body_bytes: MAX_LIST_BYTES,
+        response_timeout: completion_timeout,
+        write_deadline: None,
+    };
+    let exchange = connection.exchange(request, limits);
+    let response = match timeout(backoff.poll_timeout(wait), exchange).await {
         Ok(Ok(response)) => response,
-        Ok(Err(Progress::Spoilt)) if started_at.elapsed() >= completion_timeout => {
+        Ok(Err(ExchangeError::InvalidResponse)) if started_at.elapsed() >= completion_timeout => {
             return Err(WatchError::Incomplete);
         }
         Ok(Err(_)) => return Err(WatchError::ConnectionBroken),
         Err(_) => return Err(WatchError::NoResponse),
     };
-    if head.status != StatusCode::OK {
-        return Err(WatchError::UnexpectedStatus(head.status));
+    if response.status() != StatusCode::OK {
+        return Err(WatchError::UnexpectedStatus(response.status()));
     }
-    let list = EndpointList::parse(&body);
-    drop(body);
+    let list = EndpointList::parse(response.body());
+    drop(response);
     // Parsing and applying a long list are two steps, so that other tasks run in between.
     yield_now().await;
     Ok(list?)
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -56,7 +56,7 @@
 
     let version = config.cached_endpoints.version;
     engine.apply(config.cached_endpoints);
-    spawn(endpoints.keep_tidy());
+    spawn(endpoints.maintain_connections());
     let (discovery_address, addresses) = watch::channel(config.discovery);
     spawn(watch_endpoints(addresses, version, config.seed, config.poll_timing, engine.clone()));
     spawn(reload_on_sighup(signals.clone(), discovery_address, engine));
