--- a/gateway/tests/leaving.rs
+++ b/gateway/tests/client_disconnect.rs
@@ -1,9 +1,9 @@
 //! Clients that leave while their request waits for something: whichever way they go, and also where what was waited
 //! for comes in the same turn of the event loop, nothing of theirs goes on.
 
-mod helper;
+mod common;
 
-use helper::{
+use common::{
     Client, Do, Endpoint, Gateway, Late, Mood, Setup, World, full_line, list, ok, pause, request, row, until,
 };
 use ryefront_gateway::socket::Socket;
@@ -57,7 +57,7 @@
     let stream = client.0.get_ref();
     let (from, at) = (stream.local_addr().expect("an address"), stream.peer_addr().expect("an address"));
     let kept = end(client, way);
-    helper::end_arrived(at, from, matches!(way, Way::Reset)).await;
+    common::end_arrived(at, from, matches!(way, Way::Reset)).await;
     kept
 }
 
@@ -73,7 +73,7 @@
         assert!(!socket.has_left().await, "{way:?}, {} bytes behind", behind.len());
         let _kept = leave(peer, way).await;
         assert!(socket.has_left().await, "{way:?}, {} bytes behind", behind.len());
-        helper::soon("the same from the event loop", socket.left()).await;
+        common::soon("the same from the event loop", socket.left()).await;
     }
 }
 
@@ -203,7 +203,7 @@
     let text =
         leaving().replace("Api-Plan: p", "Api-Plan: free").replace("00000000b4d65521", "0000000000000001");
     client.write(&(text + &behind)).await;
-    helper::connecting(at).await;
+    common::connecting(at).await;
     world.gateway.freeze();
     let late = Late::accept(listener, line);
     late.opened(1).await;
--- a/gateway/tests/requests.rs
+++ b/gateway/tests/client_requests.rs
@@ -1,8 +1,8 @@
 //! What comes in from clients: what is taken, what is not, and what goes on to endpoints.
 
-mod helper;
+mod common;
 
-use helper::{Do, Endpoint, World, ok, pause, request};
+use common::{Do, Endpoint, World, ok, pause, request};
 use tokio::io::AsyncWriteExt;
 
 #[tokio::test(flavor = "multi_thread")]
@@ -124,9 +124,9 @@
     let world = World::with(&[&endpoint]).await;
     let mut client = world.gateway.client().await;
     client.write(&request("look", 50_000, "", "")).await;
-    helper::until("the attempt", || endpoint.attempts() == 1).await;
+    common::until("the attempt", || endpoint.attempts() == 1).await;
     drop(client);
-    helper::until("the end of the attempt's connection", || endpoint.closed() == 1).await;
+    common::until("the end of the attempt's connection", || endpoint.closed() == 1).await;
     pause(300).await;
     assert_eq!(endpoint.attempts(), 1);
     assert_eq!(world.gateway.client().await.ask(&request("look", 900, "", "")).await.status(), 200);
@@ -143,7 +143,7 @@
         assert_eq!(reply.status(), 504, "{class}");
         client.stays_quiet().await;
         assert_eq!(endpoint.attempts(), before + 1, "{class}");
-        helper::until("the attempt given up", || endpoint.closed() == closed + 1).await;
+        common::until("the attempt given up", || endpoint.closed() == closed + 1).await;
         // The module leaves an endpoint that gave no answer alone for as long as that took.
         pause(900).await;
     }
@@ -155,11 +155,11 @@
     let world = World::with(&[&endpoint]).await;
     let mut client = world.gateway.client().await;
     client.write(&request("order", 50_000, "", "b")).await;
-    helper::until("the attempt", || endpoint.attempts() == 1).await;
+    common::until("the attempt", || endpoint.attempts() == 1).await;
     // Longer than a request is held for an endpoint: one left alone for as long again would cost the next one.
     pause(1000).await;
     drop(client);
-    helper::until("the end of the attempt's connection", || endpoint.closed() == 1).await;
+    common::until("the end of the attempt's connection", || endpoint.closed() == 1).await;
     let reply = world.gateway.client().await.ask(&request("order", 900, "", "b")).await;
     assert_eq!((reply.status(), endpoint.attempts()), (200, 2));
 }
@@ -202,7 +202,7 @@
     let text = request("order", 5000, "", "b");
     let mut client = world.gateway.client().await;
     client.write(&text).await;
-    helper::until("the attempt", || endpoint.attempts() == 1).await;
+    common::until("the attempt", || endpoint.attempts() == 1).await;
     assert_eq!(world.gateway.client().await.ask(&text).await.status(), 400);
     assert_eq!(client.read().await.status(), 200);
     assert_eq!(endpoint.attempts(), 1);
@@ -219,7 +219,7 @@
         let mut client = world.gateway.client().await;
         client.write(start).await;
         let mut sent = 0;
-        helper::soon("the close", async {
+        common::soon("the close", async {
             while client.0.get_mut().write_all(b"y").await.is_ok() {
                 sent += 1;
                 pause(50).await;
--- a/gateway/tests/counter.rs
+++ b/gateway/tests/counter.rs
@@ -1,8 +1,8 @@
 //! Quotas on the shared counter, and what is left of them when it fails.
 
-mod helper;
+mod common;
 
-use helper::{Counter, Discovery, Do, Endpoint, Gateway, Mood, Setup, World, ok, pause, request, row};
+use common::{Counter, Discovery, Do, Endpoint, Gateway, Mood, Setup, World, ok, pause, request, row};
 use ryefront_policy::CounterResult;
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -80,7 +80,7 @@
     let world = World::set(&Setup { rate: 50.0, burst: 50.0, ..small(&endpoint) }, Mood::Babbles).await;
     served(&statuses(&world.gateway, 5).await);
     *world.counter.mood.lock().expect("lock") = Mood::Adds;
-    helper::soon("a total", async {
+    common::soon("a total", async {
         while world.counter.totals.lock().expect("lock").is_empty() {
             statuses(&world.gateway, 1).await;
             pause(50).await;
@@ -91,7 +91,7 @@
 
 /// The counter's side alone: calls of one lane, and how each ended.
 async fn outcomes(spoilt: &'static str, moods: &[Mood]) -> Vec<CounterResult> {
-    let stand_in = helper::Counter::start(Mood::Adds).await;
+    let stand_in = common::Counter::start(Mood::Adds).await;
     let (at, mood) = (stand_in.at, stand_in.mood.clone());
     let moods = moods.to_vec();
     tokio::task::LocalSet::new()
@@ -103,7 +103,7 @@
             for next in moods {
                 *mood.lock().expect("lock") = next;
                 counter.add(2, 1.0, 10_000.0);
-                outcomes.push(helper::soon(spoilt, ends.recv()).await.expect("an end"));
+                outcomes.push(common::soon(spoilt, ends.recv()).await.expect("an end"));
             }
             outcomes
         })
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery_watch.rs
@@ -1,8 +1,8 @@
 //! How the watch on the list of endpoints paces its calls.
 
-mod helper;
+mod common;
 
-use helper::{Do, Endpoint, World, list, ok, refusing, row};
+use common::{Do, Endpoint, World, list, ok, refusing, row};
 use ryefront_gateway::discovery::backoff::{CONNECT_TIMEOUT, Failure, Pace, Retry};
 use ryefront_gateway::discovery::{self, List};
 use ryefront_gateway::endpoint::EndpointRegistry;
--- a/gateway/tests/endpoints.rs
+++ b/gateway/tests/endpoint_connections.rs
@@ -1,8 +1,8 @@
 //! What attempts come to: exactly which are made, and what the client is told.
 
-mod helper;
+mod common;
 
-use helper::{Do, Endpoint, Gateway, Mood, Setup, World, list, ok, pause, refusing, request, row};
+use common::{Do, Endpoint, Gateway, Mood, Setup, World, list, ok, pause, refusing, request, row};
 use http_body_util::Full;
 use ryefront_gateway::http_connection::{Connection, Progress};
 use std::sync::atomic::Ordering;
@@ -99,7 +99,7 @@
     let mut client = world.gateway.client().await;
     for n in 1..=10 {
         assert_eq!(client.ask(&request("order", 50_000, "", "b")).await.status(), 200);
-        helper::until("the endpoint's close", || endpoint.closed() == n).await;
+        common::until("the endpoint's close", || endpoint.closed() == n).await;
     }
     assert_eq!(endpoint.attempts(), 10);
 }
@@ -117,7 +117,7 @@
         world.discovery.taken_in().await;
         world.discovery.tell(told(endpoint.at));
         world.discovery.taken_in().await;
-        helper::until("the free connection's end", || endpoint.closed() == 1).await;
+        common::until("the free connection's end", || endpoint.closed() == 1).await;
         let reply = client.ask(&request("look", 900, "", "")).await;
         assert_eq!(reply.status(), 429);
         assert_eq!(endpoint.attempts(), 1);
@@ -160,7 +160,7 @@
     busy.write(&request("look", 50_000, "", "")).await;
     tokio::select! {
         biased;
-        () = helper::until("a second call", || world.discovery.calls.load(Ordering::SeqCst) > 1) => {}
+        () = common::until("a second call", || world.discovery.calls.load(Ordering::SeqCst) > 1) => {}
         _ = busy.read() => panic!("the lost call was waited for"),
     }
     world.discovery.tell(list(2, true, &[row("n", new.at, "in_service")]));
@@ -197,7 +197,7 @@
             peer.read_exact(&mut bytes).await.expect("bytes");
             pause(100).await;
         };
-        let (end, ()) = tokio::join!(connection.exchange(request, 100, helper::LONG, None), close);
+        let (end, ()) = tokio::join!(connection.exchange(request, 100, common::LONG, None), close);
         assert_eq!(end.expect_err("a broken connection"), progress);
         assert!(!connection.is_alive());
     }
@@ -215,7 +215,7 @@
     // A free connection rests for a moment before it is used again.
     pause(50).await;
     assert_eq!(one.ask(&request("order", 700, "", "b")).await.status(), 504);
-    helper::until("the end of both connections", || endpoint.closed() == 2).await;
+    common::until("the end of both connections", || endpoint.closed() == 2).await;
     assert_eq!(endpoint.attempts(), 3);
 }
 
--- a/gateway/tests/shutdown.rs
+++ b/gateway/tests/graceful_shutdown/main.rs
@@ -2,10 +2,11 @@
 //! clients use their open connections until then. Each seed draws another scenario. `SOAK_SEEDS=1-60` plays others than
 //! the few of the usual run.
 
-mod helper;
+#[path = "../common/mod.rs"]
+mod common;
 
+use common::{Client, Counter, Discovery, Do, Endpoint, Gateway, Mood, Setup, ok, request, row};
 use fastrand::Rng;
-use helper::{Client, Counter, Discovery, Do, Endpoint, Gateway, Mood, Setup, ok, request, row};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -127,7 +128,7 @@
     if client.0.write_all(text.as_bytes()).await.is_err() {
         return closed;
     }
-    match timeout_at(kill, helper::hear(&mut client.0)).await {
+    match timeout_at(kill, common::hear(&mut client.0)).await {
         Ok(Some(_)) => Ended::Answered,
         // Whatever the kill itself closes was unanswered then.
         Ok(None) if Instant::now() >= kill => Ended::Unanswered,
--- a/gateway/tests/process.rs
+++ b/gateway/tests/process.rs
@@ -1,8 +1,8 @@
 //! Start, end and limits of the process.
 
-mod helper;
+mod common;
 
-use helper::{Client, Counter, Discovery, Do, Endpoint, Gateway, Mood, Setup, World, list, ok, request, row};
+use common::{Client, Counter, Discovery, Do, Endpoint, Gateway, Mood, Setup, World, list, ok, request, row};
 use std::process::Command;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering::SeqCst};
@@ -19,7 +19,7 @@
     let (mut early, mut free) = (world.gateway.client().await, world.gateway.client().await);
     assert_eq!(free.ask(UP).await.status(), 200);
     early.write(&request("order", 2000, "", "b")).await;
-    helper::until("the attempt", || endpoint.attempts() == 1).await;
+    common::until("the attempt", || endpoint.attempts() == 1).await;
     world.gateway.terminate();
     world.gateway.drains().await;
     for client in [&mut world.gateway.client().await, &mut free] {
@@ -30,7 +30,7 @@
     let reply = early.read().await;
     assert_eq!((reply.status(), reply.headers["connection"].as_str()), (504, "close"));
     let mut rest = Vec::new();
-    helper::soon("the close", early.0.read_to_end(&mut rest)).await.expect("a clean end");
+    common::soon("the close", early.0.read_to_end(&mut rest)).await.expect("a clean end");
     assert_eq!(rest, b"");
     assert_eq!(world.gateway.ended().await.code(), Some(0));
     assert_eq!(endpoint.attempts(), 3);
@@ -45,7 +45,7 @@
     world.gateway.terminate();
     // A request that crossed this close is sent once more, on a new connection.
     let mut rest = Vec::new();
-    helper::soon("the close", idle.0.read_to_end(&mut rest)).await.expect("a clean end");
+    common::soon("the close", idle.0.read_to_end(&mut rest)).await.expect("a clean end");
     assert_eq!(rest, b"");
     let reply = world.gateway.client().await.ask(&request("order", 900, "", "b")).await;
     assert_eq!((reply.status(), reply.headers["connection"].as_str()), (200, "close"));
@@ -68,10 +68,10 @@
 async fn idle_clients_beyond_the_budget_make_room_for_new_ones() {
     let endpoint = Endpoint::start(&[Do::SayLater(1500, ok("x"))]).await;
     let setup = Setup { sockets: 52, ..Setup::knowing(&[row("b", endpoint.at, "in_service")]) };
-    let world = World::set(&setup, helper::Mood::Adds).await;
+    let world = World::set(&setup, common::Mood::Adds).await;
     let mut busy = world.gateway.client().await;
     busy.write(&request("look", 50_000, "", "")).await;
-    helper::until("the attempt", || endpoint.attempts() == 1).await;
+    common::until("the attempt", || endpoint.attempts() == 1).await;
     let mut clients = Vec::new();
     for _ in 0..40 {
         let mut client = world.gateway.client().await;
@@ -87,10 +87,10 @@
     // Room for 33. What is out meanwhile ends before anyone's time to ask is over.
     let endpoint = Endpoint::start(&[Do::SayLater(2000, ok("x"))]).await;
     let setup = Setup { sockets: 92, ..Setup::knowing(&[row("b", endpoint.at, "in_service")]) };
-    let world = World::set(&setup, helper::Mood::Adds).await;
+    let world = World::set(&setup, common::Mood::Adds).await;
     let mut busy = world.gateway.client().await;
     busy.write(&request("look", 50_000, "", "")).await;
-    helper::until("the attempt", || endpoint.attempts() == 1).await;
+    common::until("the attempt", || endpoint.attempts() == 1).await;
     let mut crowd = Vec::new();
     for _ in 0..24 {
         let mut client = world.gateway.client().await;
@@ -115,7 +115,7 @@
     }
     let rows: Vec<_> = endpoints.iter().map(|b| row(&b.at.to_string(), b.at, "in_service")).collect();
     let setup = Setup { sockets: 92, ..Setup::knowing(&rows) }.patient(400_000);
-    let world = World::set(&setup, helper::Mood::Adds).await;
+    let world = World::set(&setup, common::Mood::Adds).await;
     let mut busy = Vec::new();
     for _ in 0..18 {
         let mut client = world.gateway.client().await;
@@ -123,10 +123,10 @@
         busy.push(client);
     }
     let attempts = || endpoints.iter().map(Endpoint::attempts).sum::<usize>();
-    helper::until("the attempts", || attempts() == 18).await;
+    common::until("the attempts", || attempts() == 18).await;
     for rest in [0, 1, 5, 30] {
         let mut newcomer = world.gateway.client().await;
-        helper::pause(rest).await;
+        common::pause(rest).await;
         assert_eq!(newcomer.ask(UP).await.status(), 200, "{rest} ms after it came");
     }
 }
@@ -135,7 +135,7 @@
 async fn clients_that_connect_and_say_nothing_do_not_keep_others_out() {
     let endpoint = Endpoint::start(&[Do::Say(ok("x"))]).await;
     let setup = Setup { sockets: 52, ..Setup::knowing(&[row("b", endpoint.at, "in_service")]) };
-    let world = World::set(&setup, helper::Mood::Adds).await;
+    let world = World::set(&setup, common::Mood::Adds).await;
     let mut silent = Vec::new();
     for n in 0..40 {
         let mut client = world.gateway.client().await;
@@ -168,11 +168,11 @@
         let (up, here) =
             (Endpoint::start(&[Do::Say(ok("old"))]).await, Endpoint::start(&[Do::Say(ok("old"))]).await);
         // What it knew hours ago: one of these has gone since, and one has started that it does not know.
-        let (_held, gone) = helper::refusing();
+        let (_held, gone) = common::refusing();
         let rows = [("up", up.at), ("gone", gone), ("here", here.at)];
         let setup = Setup::knowing(&rows.map(|(name, at)| row(name, at, "in_service"))).patient(200_000);
         let counter = Counter::start(Mood::Adds).await;
-        let (socket, at) = helper::refusing();
+        let (socket, at) = common::refusing();
         let serve = |socket: TcpSocket, deed| Endpoint::serve(socket.listen(8).expect("a listener"), &[deed]);
         let (socket, discovery) = match mood.clone() {
             Some(deed) => (None, Some(serve(socket, deed))),
@@ -192,7 +192,7 @@
             let heard = discovery.heard.lock().expect("lock");
             heard.last().is_some_and(|call| call.line.contains("after=900&"))
         };
-        helper::until("the call behind the list", taken_in).await;
+        common::until("the call behind the list", taken_in).await;
         let before = (up.attempts(), here.attempts());
         for _ in 0..5 {
             let reply = gateway.client().await.ask(&request("order", 500_000, "", "b")).await;
@@ -209,7 +209,7 @@
         let _ = client.0.write_all(text.as_bytes()).await;
         tokio::select! {
             biased;
-            () = helper::until("what a request leads to", &taken) => return client,
+            () = common::until("what a request leads to", &taken) => return client,
             bytes = client.0.fill_buf() => {
                 if bytes.is_ok_and(|b| !b.is_empty()) {
                     return client;
@@ -223,7 +223,7 @@
 async fn a_crowd_that_fills_the_descriptors_leaves_some_for_discovery_and_counter_when_they_return() {
     let (hangs, serves) =
         (Endpoint::start(&[Do::Hang]).await, Endpoint::start(&[Do::SayLater(20, ok("x"))]).await);
-    let (discovery, counter) = (helper::refusing(), helper::refusing());
+    let (discovery, counter) = (common::refusing(), common::refusing());
     // Room for 33 clients and 27 connections to endpoints.
     let rows =
         |name: &str, at| (0..22).map(|n| row(&format!("{name}{n}"), at, "in_service")).collect::<Vec<_>>();
@@ -247,7 +247,7 @@
             }
         });
     }
-    helper::until("a full gateway", || closed.load(SeqCst) > 60).await;
+    common::until("a full gateway", || closed.load(SeqCst) > 60).await;
     let listen = |socket: TcpSocket| socket.listen(1024).expect("a listener");
     let mut places = (Discovery::serve(listen(discovery.0)), Counter::serve(listen(counter.0), Mood::Adds));
     let first = (places.0.at, places.1.at);
@@ -267,7 +267,7 @@
                 assert_eq!(entered(&gateway, &text, || false).await.read().await.status(), 200);
             }
         };
-        helper::soon("a call of the counter", work).await;
+        common::soon("a call of the counter", work).await;
         // Whatever is out there is not answered before both have moved.
         *counter.mood.lock().expect("lock") = Mood::Held;
         let calls = counter.calls.load(SeqCst);
@@ -288,7 +288,7 @@
     let mut world = World::with(&[&old]).await;
     let mut early = world.gateway.client().await;
     early.write(&request("order", 5000, "", "b")).await;
-    helper::until("the attempt", || old.attempts() == 1).await;
+    common::until("the attempt", || old.attempts() == 1).await;
     let (mut at, mut counter_at) = (world.discovery.at, world.counter.at);
     // More than once, and each place counts its versions from far below the last one's.
     for _ in 0..3 {
@@ -298,7 +298,7 @@
             (world.counter.at.to_string(), counter.at.to_string()),
         ];
         world.gateway.reconfigure(&changes).await;
-        helper::until("a call of the new discovery", || discovery.calls.load(SeqCst) > 0).await;
+        common::until("a call of the new discovery", || discovery.calls.load(SeqCst) > 0).await;
         assert_eq!(*discovery.asked.lock().expect("lock"), "GET /discovery/hosts HTTP/1.1");
         discovery.tell(list(0, true, &[row("c", new.at, "in_service")]));
         discovery.taken_in().await;
@@ -307,7 +307,7 @@
         let tenant = format!("{:016x}", counter.at.port());
         let text = request("look", 900, "", "").replace("00000000b4d65521", &tenant);
         assert_eq!(client.ask(&text).await.body, b"new");
-        helper::until("a call of the new counter", || counter.calls.load(SeqCst) > 0).await;
+        common::until("a call of the new counter", || counter.calls.load(SeqCst) > 0).await;
         assert_ne!(std::mem::replace(&mut at, discovery.at), at);
         assert_ne!(std::mem::replace(&mut counter_at, counter.at), counter_at);
     }
@@ -329,7 +329,7 @@
     world.gateway.reconfigure(&[]).await;
     assert!((1..=2).contains(&world.gateway.log_lines("configuration read again")));
     assert_eq!(world.gateway.log_lines("configuration not read again"), 1);
-    helper::pause(300).await;
+    common::pause(300).await;
     // A new place would be asked for all it has.
     assert!(world.discovery.asked.lock().expect("lock").contains("?after=1&"));
 }
@@ -342,10 +342,10 @@
     let changed = |text: &str| text.replace(&old, &new.at.to_string());
     world.gateway.write_config(|text| changed(text)[..text.len() / 2].to_owned());
     world.gateway.hang_up();
-    helper::until("a word on it", || world.gateway.log_lines("configuration not read again") == 1).await;
+    common::until("a word on it", || world.gateway.log_lines("configuration not read again") == 1).await;
     assert_eq!(new.calls.load(SeqCst), 0);
     world.gateway.write_config(changed);
-    helper::until("a call of the new discovery", || new.calls.load(SeqCst) > 0).await;
+    common::until("a call of the new discovery", || new.calls.load(SeqCst) > 0).await;
     assert_eq!(world.gateway.log_lines("configuration not read again"), 1);
 }
 
@@ -360,7 +360,7 @@
         let new = Discovery::start().await;
         world.gateway.write_config(|text| text.replace(&old, &new.at.to_string()));
         world.gateway.hang_up();
-        helper::until("a call of the new discovery", || new.calls.load(SeqCst) > 0).await;
+        common::until("a call of the new discovery", || new.calls.load(SeqCst) > 0).await;
     }
     assert_eq!(world.gateway.client().await.ask(&request("look", 900, "", "")).await.status(), 200);
     world.gateway.terminate();
--- a/gateway/tests/repeats.rs
+++ b/gateway/tests/retry.rs
@@ -1,9 +1,9 @@
 //! When a further attempt may still be written, and what an answer in front of the answer does to it.
 
-mod helper;
+mod common;
 
 use bytes::Bytes;
-use helper::{Do, Endpoint, Mood, Setup, World, hear, ok, pause, request, row};
+use common::{Do, Endpoint, Mood, Setup, World, hear, ok, pause, request, row};
 use http_body_util::Full;
 use ryefront_gateway::http_connection::{Connection, Progress};
 use std::sync::Arc;
@@ -24,16 +24,16 @@
 async fn what_is_not_written_whole_in_time_never_becomes_whole() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
-    let mut connection = Connection::connect(at, helper::LONG).await.expect("a connection");
+    let mut connection = Connection::connect(at, common::LONG).await.expect("a connection");
     let (mut peer, _) = listener.accept().await.expect("a connection");
     let by = Instant::now() + Duration::from_millis(200);
-    let end = connection.exchange(post(LARGE), 100, helper::LONG, Some(by)).await;
+    let end = connection.exchange(post(LARGE), 100, common::LONG, Some(by)).await;
     assert_eq!(end.expect_err("given up"), Progress::Partly);
     assert!(Instant::now() >= by);
     drop(connection);
     // The reader wakes up when the time is over.
     let mut bytes = Vec::new();
-    let _ = helper::soon("the end", peer.read_to_end(&mut bytes)).await;
+    let _ = common::soon("the end", peer.read_to_end(&mut bytes)).await;
     assert!(bytes.len() < LARGE);
 }
 
@@ -41,7 +41,7 @@
 async fn what_is_written_whole_in_time_has_all_of_its_time_for_the_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
-    let mut connection = Connection::connect(at, helper::LONG).await.expect("a connection");
+    let mut connection = Connection::connect(at, common::LONG).await.expect("a connection");
     let answer = async {
         let (peer, _) = listener.accept().await.expect("a connection");
         let mut peer = BufReader::new(peer);
@@ -51,7 +51,7 @@
         peer
     };
     let by = Instant::now() + Duration::from_millis(300);
-    let (end, _peer) = tokio::join!(connection.exchange(post(10), 100, helper::LONG, Some(by)), answer);
+    let (end, _peer) = tokio::join!(connection.exchange(post(10), 100, common::LONG, Some(by)), answer);
     assert_eq!(end.expect("an answer").1, "x");
 }
 
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/shutdown_sequence.rs
@@ -1,9 +1,9 @@
 //! Where two events cross: each order is forced by the peers, which wait for one before they bring about the other.
-//! Those of clients that leave are in `leaving.rs`.
+//! Those of clients that leave are in `client_disconnect.rs`.
 
-mod helper;
+mod common;
 
-use helper::{
+use common::{
     Counter, Discovery, Do, Endpoint, Late, Mood, Setup, World, full_line, list, ok, request, row, until,
 };
 use std::net::SocketAddr;
@@ -55,7 +55,7 @@
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(2048).expect("a small buffer");
     let stream = socket.connect(world.gateway.at).await.expect("a connection");
-    let mut client = helper::Client(tokio::io::BufReader::new(stream));
+    let mut client = common::Client(tokio::io::BufReader::new(stream));
     client.write(&request("order", 50_000, "", "b")).await;
     until("the attempt", || endpoint.attempts() == 1).await;
     world.gateway.terminate();
@@ -89,7 +89,7 @@
         }
         world.gateway.thaw();
         // A client whose request was not read sends it once more elsewhere: then it must not have gone on.
-        let reply = helper::soon("an answer or the end", helper::hear(&mut client.0)).await;
+        let reply = common::soon("an answer or the end", common::hear(&mut client.0)).await;
         let answered = reply.is_some_and(|reply| reply.body == b"x");
         assert_eq!(endpoint.attempts(), usize::from(answered), "{reason}");
     }
@@ -110,7 +110,7 @@
         let stream = TcpStream::connect(world.gateway.at).await;
         world.gateway.thaw();
         if let Ok(stream) = stream {
-            let mut client = helper::Client(tokio::io::BufReader::new(stream));
+            let mut client = common::Client(tokio::io::BufReader::new(stream));
             let reply = client.ask(&request("order", 50_000, "", "b")).await;
             assert_eq!((reply.status(), reply.headers["connection"].as_str()), (200, "close"));
             assert_eq!(world.gateway.ended().await.code(), Some(0));
@@ -130,9 +130,9 @@
     client.write(&request("order", 500_000, "", "b")).await;
     until("the call", || world.counter.calls.load(SeqCst) == 1).await;
     world.gateway.terminate();
-    helper::soon("the listener's end", async {
+    common::soon("the listener's end", async {
         while TcpStream::connect(world.gateway.at).await.is_ok() {
-            helper::pause(20).await;
+            common::pause(20).await;
         }
     })
     .await;
@@ -260,7 +260,7 @@
         let mut client = world.gateway.client().await;
         assert_eq!(client.ask(&request("order", 900, "", "b")).await.body, b"good");
         let answered = Instant::now();
-        helper::pause(8).await;
+        common::pause(8).await;
         assert_eq!(client.ask(&request("order", 900, "", "b")).await.body, b"good");
         // On a machine that was too slow to bring the two together nothing was shown.
         if answered.elapsed() < Duration::from_millis(15) {
@@ -303,7 +303,7 @@
         let world = World::set(&setup, Mood::Adds).await;
         let mut client = world.gateway.client().await;
         client.write(&request("order", 500_000, "", "b")).await;
-        helper::connecting(at).await;
+        common::connecting(at).await;
         world.discovery.taken_in().await;
         world.discovery.tell(list(2, whole, &rows(at, other.at)));
         world.discovery.taken_in().await;
@@ -323,7 +323,7 @@
     let mut client = world.gateway.client().await;
     let asked = Instant::now();
     client.write(&request("order", 3000, "", "b")).await;
-    helper::connecting(at).await;
+    common::connecting(at).await;
     world.gateway.freeze();
     let late = Late::accept(listener, line);
     late.opened(1).await;
@@ -345,7 +345,7 @@
     let world = World::set(&setup, Mood::Adds).await;
     let mut client = world.gateway.client().await;
     client.write(&request("order", 500_000, "", "b")).await;
-    helper::connecting(at).await;
+    common::connecting(at).await;
     world.discovery.taken_in().await;
     world.discovery.tell(list(2, false, &[row("other", other.at, "in_service")]));
     assert_eq!(client.read().await.body, b"other");
--- a/gateway/tests/faults.rs
+++ b/gateway/tests/system_call_failures.rs
@@ -1,9 +1,9 @@
 //! System calls of the gateway that fail as Linux documents: no request is lost or run twice, and a moment of failures
 //! that speak of this machine alone turns nobody away for longer than it lasts.
 
-mod helper;
+mod common;
 
-use helper::{Do, Endpoint, Gateway, Mood, Setup, World, ok, pause, request, row, until};
+use common::{Do, Endpoint, Gateway, Mood, Setup, World, ok, pause, request, row, until};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
                 }
                 let mut open = match client.take() {
                     Some(open) => open,
-                    None => helper::Client::connect(at).await,
+                    None => common::Client::connect(at).await,
                 };
                 let (class, body) = [("look", ""), ("save", "body"), ("order", "body")][number % 3];
                 match open.try_ask(&request(class, DEADLINE, "", body)).await {
@@ -57,7 +57,7 @@
     });
     let mut tally = Tally::default();
     for client in clients.collect::<Vec<_>>() {
-        let (statuses, lost) = helper::soon("a client's answers", client).await.expect("a client");
+        let (statuses, lost) = common::soon("a client's answers", client).await.expect("a client");
         tally.lost += lost;
         for status in statuses {
             *tally.statuses.entry(status).or_default() += 1;
--- a/gateway/tests/clocks.rs
+++ b/gateway/tests/wall_clock.rs
@@ -1,8 +1,8 @@
 //! Gateways that start when their machine's wall clock has been stepped: quotas and slow start hold all the same.
 
-mod helper;
+mod common;
 
-use helper::{Counter, Discovery, Do, Endpoint, Gateway, Mood, Setup, list, ok, request, row};
+use common::{Counter, Discovery, Do, Endpoint, Gateway, Mood, Setup, list, ok, request, row};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const HOUR_MS: i64 = 3_600_000;
@@ -16,7 +16,7 @@
         let text = request("look", 2000, "", "").replace("spread=1", "spread=2");
         let reply = client.ask(&text).await;
         served += usize::from(reply.status() == 200);
-        helper::pause(10).await;
+        common::pause(10).await;
     }
     served
 }
