--- a/gateway/tests/common/clients.rs
+++ b/gateway/tests/common/clients.rs
@@ -43,6 +43,7 @@
 }
 
 impl<'a> RequestBuilder<'a> {
+    /// A request without a body and with the usual headers.
     pub fn new(class: Class, deadline_ms: u64) -> Self {
         Self { class, deadline_ms, header_lines: "", body: "" }
     }
@@ -52,6 +53,7 @@
         Self { header_lines, ..self }
     }
 
+    /// Sets the body.
     pub fn body(self, body: &'a str) -> Self {
         Self { body, ..self }
     }
@@ -93,6 +95,7 @@
 }
 
 impl TestClient {
+    /// A client on a new connection.
     pub async fn connect(address: SocketAddr) -> Self {
         Self::new(TcpStream::connect(address).await.expect("a connection"))
     }
@@ -102,10 +105,12 @@
         Self { stream: BufReader::new(stream) }
     }
 
+    /// Writes a text to the connection.
     pub async fn write(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).await.expect("written");
     }
 
+    /// Reads a response; panics if the connection ends without one.
     pub async fn read_response(&mut self) -> HttpMessage {
         let response = within_timeout("a response", read_message(&mut self.stream)).await;
         response.expect("a response, not the end of the connection")
--- a/gateway/tests/common/disconnects.rs
+++ b/gateway/tests/common/disconnects.rs
@@ -18,10 +18,12 @@
     HalfClose,
 }
 
+/// All kinds.
 pub const DISCONNECT_KINDS: [DisconnectKind; 3] =
     [DisconnectKind::Close, DisconnectKind::Reset, DisconnectKind::HalfClose];
 
 impl DisconnectKind {
+    /// How the other side's system sees the end.
     pub fn peer_end(self) -> PeerEnd {
         if matches!(self, Self::Reset) { PeerEnd::Reset } else { PeerEnd::Fin }
     }
@@ -58,6 +60,7 @@
         all
     }
 
+    /// For the messages of assertions.
     pub fn describe(&self) -> String {
         format!("{:?}, {} trailing bytes, {:?}", self.kind, self.trailing.len(), self.order)
     }
--- a/gateway/tests/common/endpoints.rs
+++ b/gateway/tests/common/endpoints.rs
@@ -11,6 +11,14 @@
 /// How often [`ScriptedResponse::WriteRepeatedly`] writes, in milliseconds.
 const REPEAT_INTERVAL_MS: u64 = 10;
 
+/// A part of a response.
+#[derive(Clone, Debug)]
+pub struct Piece {
+    /// How long the endpoint waits before it writes the text.
+    pub delay_ms: u64,
+    pub text: &'static str,
+}
+
 /// What an endpoint does with one request.
 #[derive(Clone, Debug)]
 pub enum ScriptedResponse {
@@ -26,6 +34,7 @@
         delay_ms: u64,
         second: String,
     },
+    WriteInPieces(Vec<Piece>),
     /// Writes the text over and over for as long as the connection is open.
     WriteRepeatedly(String),
     NoResponse,
@@ -168,6 +177,12 @@
             sleep_ms(delay_ms).await;
             write(stream, &second).await;
         }
+        ScriptedResponse::WriteInPieces(pieces) => {
+            for Piece { delay_ms, text } in pieces {
+                sleep_ms(delay_ms).await;
+                write(stream, text).await;
+            }
+        }
         ScriptedResponse::WriteAndReset(text) => {
             write(stream, &text).await;
             let socket = socket2::SockRef::from(stream.get_ref());
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -22,6 +22,7 @@
 }
 
 impl ConfigEdit {
+    /// `old` must be part of the configuration.
     pub fn new(old: impl ToString, new: impl ToString) -> Self {
         Self { old: old.to_string(), new: new.to_string() }
     }
@@ -204,10 +205,12 @@
             .await;
     }
 
+    /// Sends the signal at which the gateway reads its configuration again.
     pub fn send_sighup(&self) {
         self.send_signal("-HUP");
     }
 
+    /// Sends the signal that starts a graceful shutdown.
     pub fn send_sigterm(&self) {
         self.send_signal("-TERM");
     }
@@ -217,6 +220,7 @@
         self.send_signal("-STOP");
     }
 
+    /// Continues a suspended process.
     pub fn resume(&self) {
         self.send_signal("-CONT");
     }
@@ -254,6 +258,7 @@
         .await;
     }
 
+    /// Waits until the process has ended.
     pub async fn wait_for_exit(&mut self) -> ExitStatus {
         within_timeout("the gateway's exit", self.child.wait()).await.expect("a status")
     }
@@ -286,6 +291,7 @@
         Self::start(&GatewayOptions::with_entries(&entries), CounterBehavior::Add).await
     }
 
+    /// With these options and a counter that behaves so.
     pub async fn start(options: &GatewayOptions, behavior: CounterBehavior) -> Self {
         let discovery = TestDiscovery::start().await;
         let counter = TestCounter::start(behavior).await;
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -20,7 +20,7 @@
 };
 pub use counter::{CounterBehavior, TestCounter};
 pub use discovery::{TestDiscovery, delta, in_service, snapshot, terminated, terminating};
-pub use endpoints::{ScriptedResponse, TestEndpoint};
+pub use endpoints::{Piece, ScriptedResponse, TestEndpoint};
 pub use gateway::{ConfigEdit, GatewayOptions, GatewayProcess, TestEnvironment};
 pub use http::{HttpMessage, ok_response, read_message};
 pub use sockets::{
--- a/gateway/tests/common/sockets.rs
+++ b/gateway/tests/common/sockets.rs
@@ -80,6 +80,7 @@
 }
 
 impl RefusingPort {
+    /// Binds a port that the system chooses.
     pub fn bind() -> Self {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -101,6 +102,7 @@
 }
 
 impl FullBacklog {
+    /// Listens, and connects until the backlog is full.
     pub async fn start() -> Self {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("bound");
--- a/gateway/tests/graceful_shutdown/load.rs
+++ b/gateway/tests/graceful_shutdown/load.rs
@@ -56,10 +56,12 @@
         self.requests.lock().expect("lock").push(request);
     }
 
+    /// The number of requests.
     pub fn len(&self) -> usize {
         self.requests.lock().expect("lock").len()
     }
 
+    /// The number of requests that ended so.
     pub fn count(&self, outcome: Outcome) -> usize {
         self.requests.lock().expect("lock").iter().filter(|request| request.outcome == outcome).count()
     }
--- a/gateway/tests/graceful_shutdown/scenario.rs
+++ b/gateway/tests/graceful_shutdown/scenario.rs
@@ -9,6 +9,7 @@
 /// A longer deadline counts as this for [`KILL_GRACE`].
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_millis(3000);
 
+/// A signal that a gateway handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Signal {
     Hangup,
@@ -45,6 +46,7 @@
 }
 
 impl Scenario {
+    /// The scenario of a seed; the order of the draws decides what a seed plays.
     pub fn draw(seed: u64) -> Self {
         let mut random = Rng::with_seed(seed);
         let idle_clients = if random.u8(0..3) == 0 { random.usize(20..60) } else { 0 };
--- a/gateway/tests/process.rs
+++ b/gateway/tests/process.rs
@@ -28,8 +28,12 @@
     assert_eq!(endpoint.request_count(), 5);
 }
 
-/// How discovery fails while a gateway starts; `None` for a port that refuses connections.
-type DiscoveryFailure = Option<ScriptedResponse>;
+/// How discovery fails while a gateway starts.
+#[derive(Clone, Debug)]
+enum DiscoveryFailure {
+    RefusesConnections,
+    Responds(ScriptedResponse),
+}
 
 /// Starts a gateway with three cached endpoints, one of which no longer exists, while discovery fails;
 /// discovery then recovers with a list that names a new endpoint alone.
@@ -48,8 +52,8 @@
     let address = port.address;
     let serve = |port: RefusingPort, response| TestEndpoint::serve(port.listen(8), &[response]);
     let (port, discovery) = match failure.clone() {
-        Some(response) => (None, Some(serve(port, response))),
-        None => (Some(port), None),
+        DiscoveryFailure::Responds(response) => (None, Some(serve(port, response))),
+        DiscoveryFailure::RefusesConnections => (Some(port), None),
     };
     let gateway = GatewayProcess::start(address, counter.address, &options).await;
     let assert_served_by = async |body: &[u8]| {
@@ -80,17 +84,17 @@
         delay_ms: 50,
         second: " ".into(),
     };
-    let failures = [
-        None,
-        Some(ScriptedResponse::NoResponse),
-        Some(ScriptedResponse::Write("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".into())),
-        Some(ScriptedResponse::close()),
-        Some(ScriptedResponse::WriteRepeatedly(" ".into())),
-        Some(incomplete),
+    let responses = [
+        ScriptedResponse::NoResponse,
+        ScriptedResponse::Write("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".into()),
+        ScriptedResponse::close(),
+        ScriptedResponse::WriteRepeatedly(" ".into()),
+        incomplete,
     ];
 
-    for failure in failures {
-        check_start_and_recovery(failure).await;
+    check_start_and_recovery(DiscoveryFailure::RefusesConnections).await;
+    for response in responses {
+        check_start_and_recovery(DiscoveryFailure::Responds(response)).await;
     }
 }
 
--- a/gateway/tests/retry.rs
+++ b/gateway/tests/retry.rs
@@ -4,15 +4,12 @@
 
 use bytes::Bytes;
 use common::{
-    CounterBehavior, GatewayOptions, RefusingPort, ScriptedResponse, TIMEOUT, TestEndpoint, TestEnvironment,
-    idempotent_request, in_service, non_idempotent_request, ok_response, read_message, sleep_ms,
-    within_timeout,
+    CounterBehavior, GatewayOptions, Piece, RefusingPort, ScriptedResponse, TIMEOUT, TestEndpoint,
+    TestEnvironment, idempotent_request, in_service, non_idempotent_request, ok_response, read_message,
+    sleep_ms, within_timeout,
 };
 use http_body_util::Full;
 use ryefront_gateway::http_connection::{Connection, Progress};
-use std::net::SocketAddr;
-use std::sync::Arc;
-use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpListener;
@@ -197,49 +194,31 @@
     assert_eq!(end.expect("a response").1, "x");
 }
 
-/// A part of a response and how long before it the server waits.
-type Piece = (u64, &'static str);
-
-/// Starts a server that answers each request in pieces; returns its address and the number of requests.
-async fn start_server_in_pieces(pieces: &'static [Piece]) -> (SocketAddr, Arc<AtomicUsize>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let request_count = Arc::<AtomicUsize>::default();
-    let count = request_count.clone();
-    tokio::spawn(async move {
-        while let Ok((stream, _)) = listener.accept().await {
-            let count = count.clone();
-            tokio::spawn(async move {
-                let mut stream = BufReader::new(stream);
-                while read_message(&mut stream).await.is_some() {
-                    count.fetch_add(1, SeqCst);
-                    for (delay_ms, piece) in pieces {
-                        sleep_ms(*delay_ms).await;
-                        let _ = stream.write_all(piece.as_bytes()).await;
-                    }
-                }
-            });
-        }
-    });
-    (address, request_count)
-}
-
 #[tokio::test(flavor = "multi_thread")]
 async fn informational_response_in_pieces_is_followed_by_the_final_response_of_the_same_attempt() {
-    const FINAL: &str = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
-    const RESPONSES: [&[Piece]; 3] = [
-        &[(0, "HTTP/1.1 10"), (20, "2 Processing\r\n\r"), (20, "\n"), (600, FINAL)],
-        &[(0, "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 1"), (20, "03 Hints\r\n\r\n"), (600, FINAL)],
-        &[(0, "HTTP/1.1 102 Processing\r\n\r\n"), (600, FINAL)],
+    let piece = |delay_ms, text| Piece { delay_ms, text };
+    let final_response = piece(600, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
+    let responses = [
+        vec![
+            piece(0, "HTTP/1.1 10"),
+            piece(20, "2 Processing\r\n\r"),
+            piece(20, "\n"),
+            final_response.clone(),
+        ],
+        vec![
+            piece(0, "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 1"),
+            piece(20, "03 Hints\r\n\r\n"),
+            final_response.clone(),
+        ],
+        vec![piece(0, "HTTP/1.1 102 Processing\r\n\r\n"), final_response],
     ];
-    for pieces in RESPONSES {
-        let (address, request_count) = start_server_in_pieces(pieces).await;
-        let options = GatewayOptions::with_entries(&[in_service("a", address)]);
-        let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
+    for pieces in responses {
+        let endpoint = TestEndpoint::responding(ScriptedResponse::WriteInPieces(pieces.clone())).await;
+        let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
 
         let reply = env.gateway.request(&non_idempotent_request(20_000)).await;
 
-        assert_eq!((reply.status(), request_count.load(SeqCst)), (200, 1), "{pieces:?}");
+        assert_eq!((reply.status(), endpoint.request_count()), (200, 1), "{pieces:?}");
     }
 }
 
