--- /dev/null
+++ b/gateway/tests/client_disconnect.rs
@@ -0,0 +1,284 @@
+//! Clients that disconnect while their request waits for something: however they disconnect, and also where
+//! what the request waits for comes in the same turn of the event loop, nothing more is done for it.
+
+mod common;
+
+use common::disconnects::{
+    ABANDONED, DISCONNECT_KINDS, Disconnect, DisconnectKind, abandoned_request, end_and_wait,
+};
+use common::{
+    CounterBehavior, FullBacklog, GatewayOptions, GatewayProcess, READINESS_REQUEST, ScriptedResponse,
+    TestClient, TestEndpoint, TestEnvironment, delta, idempotent_request, in_service, non_idempotent_request,
+    sleep_ms, terminating, wait_for_connection_attempt, wait_until, within_timeout,
+};
+use ryefront_gateway::socket::SharedStream;
+use tokio::net::{TcpListener, TcpStream};
+
+/// A deadline that no request of these tests reaches.
+const LONG_DEADLINE_MS: u64 = 500_000;
+const LONG_TIMEOUT_MS: u64 = 200_000;
+/// Requests of a flood: more than the gateway reads at once.
+const FLOOD_REQUESTS: usize = 300;
+
+fn patient_options(endpoint: &TestEndpoint) -> GatewayOptions {
+    GatewayOptions::with_endpoint(endpoint.address).with_long_timeouts(LONG_TIMEOUT_MS)
+}
+
+/// Waits until the gateway knows an endpoint list. It was published while the gateway was suspended, whose
+/// request may have timed out, so it is published again where needed.
+async fn wait_until_list_known(env: &TestEnvironment, version: u64, list: &str) {
+    loop {
+        env.discovery.wait_until_processed().await;
+        if env.discovery.last_request_line().contains(&format!("after={version}&")) {
+            return;
+        }
+        env.discovery.publish(list.to_owned());
+    }
+}
+
+async fn assert_next_request_is_served(env: &TestEnvironment) {
+    assert_eq!(env.gateway.request(&idempotent_request(LONG_DEADLINE_MS)).await.status(), 200);
+}
+
+#[tokio::test]
+async fn socket_detects_that_its_peer_has_disconnected() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    for disconnect in Disconnect::all() {
+        let address = listener.local_addr().expect("an address");
+        let mut peer = TestClient::new(TcpStream::connect(address).await.expect("a connection"));
+        let (stream, _) = listener.accept().await.expect("a connection");
+        let socket = SharedStream::new(stream);
+        peer.write(&disconnect.trailing).await;
+        assert!(!socket.is_closed_by_peer().await, "{}", disconnect.describe());
+
+        let _reading = disconnect.end_and_wait(peer).await;
+
+        assert!(socket.is_closed_by_peer().await, "{}", disconnect.describe());
+        within_timeout("the same from the event loop", socket.closed_by_peer()).await;
+    }
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn attempt_in_flight_is_cancelled_when_its_client_disconnects() {
+    let script = [ScriptedResponse::NoResponse, ScriptedResponse::ok("x")];
+    let endpoint = TestEndpoint::start(&script).await;
+    let env = TestEnvironment::start(&patient_options(&endpoint), CounterBehavior::Add).await;
+    for disconnect in Disconnect::all() {
+        let closed = endpoint.connections_closed();
+        endpoint.set_script(&script);
+        let attempts = endpoint.request_count();
+        let mut client = env.gateway.client().await;
+        disconnect.send_request(&mut client, &abandoned_request()).await;
+        wait_until("the attempt", || endpoint.request_count() == attempts + 1).await;
+
+        let _reading = disconnect.end(client);
+
+        wait_until("the end of the attempt's connection", || endpoint.connections_closed() > closed).await;
+        assert_eq!(env.gateway.request(READINESS_REQUEST).await.status(), 200);
+        assert_eq!(endpoint.request_count(), attempts + 1, "{}", disconnect.describe());
+    }
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn request_waiting_for_quota_is_not_forwarded_after_its_client_disconnects() {
+    for disconnect in Disconnect::all() {
+        let endpoint = TestEndpoint::ok("x").await;
+        let env = TestEnvironment::start(&patient_options(&endpoint), CounterBehavior::AddAndHoldReply).await;
+        let mut client = env.gateway.client().await;
+        disconnect.send_request(&mut client, &abandoned_request()).await;
+        wait_until("the counter call", || env.counter.call_count() > 0).await;
+
+        let release = async { env.counter.set_behavior(CounterBehavior::Add) };
+        let _reading = disconnect.cross(&env.gateway, client, release).await;
+
+        assert_next_request_is_served(&env).await;
+        assert_eq!(endpoint.requests_containing(ABANDONED), 0, "{}", disconnect.describe());
+    }
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn request_waiting_for_an_endpoint_is_not_forwarded_after_its_client_disconnects() {
+    let endpoint = TestEndpoint::ok("x").await;
+    let options = GatewayOptions::with_entries(&[]).with_long_timeouts(LONG_TIMEOUT_MS);
+    let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
+    for (n, disconnect) in (0..).zip(Disconnect::all()) {
+        let added_version = 2 * n + 2;
+        let removed_version = added_version + 1;
+        let added = delta(added_version, &[in_service("b", endpoint.address)]);
+        let removed = delta(removed_version, &[terminating("b", endpoint.address)]);
+        let mut client = env.gateway.client().await;
+        disconnect.send_request(&mut client, &abandoned_request()).await;
+        env.discovery.wait_until_processed().await;
+        assert_eq!(env.gateway.request(READINESS_REQUEST).await.status(), 200);
+
+        let release = async { env.discovery.publish(added.clone()) };
+        let _reading = disconnect.cross(&env.gateway, client, release).await;
+        wait_until_list_known(&env, added_version, &added).await;
+
+        assert_next_request_is_served(&env).await;
+        assert_eq!(endpoint.requests_containing(ABANDONED), 0, "{}", disconnect.describe());
+        env.discovery.publish(removed.clone());
+        wait_until_list_known(&env, removed_version, &removed).await;
+    }
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn request_waiting_for_its_retry_is_not_forwarded_after_its_client_disconnects() {
+    let rejection = "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
+    for disconnect in Disconnect::all() {
+        let full = TestEndpoint::responding(ScriptedResponse::Write(rejection.into())).await;
+        let other = TestEndpoint::ok("x").await;
+        // An endpoint that has rejected a request is not used again for minutes.
+        let options = GatewayOptions { slow_start_ms: 10_000_000, ..patient_options(&full) };
+        let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
+        let mut client = env.gateway.client().await;
+        disconnect.send_request(&mut client, &abandoned_request()).await;
+        wait_until("the attempt", || full.request_count() == 1).await;
+        env.discovery.wait_until_processed().await;
+        assert_eq!(env.gateway.request(READINESS_REQUEST).await.status(), 200);
+
+        let list = delta(2, &[in_service("other", other.address)]);
+        let release = async { env.discovery.publish(list.clone()) };
+        let _reading = disconnect.cross(&env.gateway, client, release).await;
+        wait_until_list_known(&env, 2, &list).await;
+
+        assert_next_request_is_served(&env).await;
+        assert_eq!(
+            (full.request_count(), other.requests_containing(ABANDONED)),
+            (1, 0),
+            "{}",
+            disconnect.describe()
+        );
+    }
+}
+
+/// A client disconnects in the turn of the event loop in which the connection is established that its request
+/// waits for.
+async fn disconnect_as_the_connection_is_established(disconnect: Disconnect) {
+    let backlog = FullBacklog::start().await;
+    let address = backlog.address;
+    let options = GatewayOptions::with_endpoint(address).with_long_timeouts(LONG_TIMEOUT_MS);
+    let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
+    let mut client = env.gateway.client().await;
+    // A tenant without a quota needs no call to the counter.
+    let request = abandoned_request()
+        .replace("Api-Plan: p", "Api-Plan: free")
+        .replace("00000000b4d65521", "0000000000000001");
+    disconnect.send_request(&mut client, &request).await;
+    wait_for_connection_attempt(address).await;
+
+    env.gateway.suspend();
+    let late = backlog.accept_all();
+    late.wait_until_opened(1).await;
+    let _reading = disconnect.end_and_wait(client).await;
+    env.gateway.resume();
+
+    assert_eq!(env.gateway.request(READINESS_REQUEST).await.status(), 200);
+    late.wait_until_all_ended().await;
+    assert_eq!(late.request_lines(), Vec::<String>::new(), "{}", disconnect.describe());
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn request_waiting_for_a_connection_is_not_forwarded_after_its_client_disconnects() {
+    let disconnects = Disconnect::all().into_iter();
+    let runs: Vec<_> = disconnects
+        .map(|disconnect| tokio::spawn(disconnect_as_the_connection_is_established(disconnect)))
+        .collect();
+
+    for run in runs {
+        run.await.expect("passed");
+    }
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn attempt_of_a_disconnected_client_is_cancelled_and_not_retried() {
+    let endpoint = TestEndpoint::start(&[ScriptedResponse::NoResponse, ScriptedResponse::ok("x")]).await;
+    let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
+    let mut client = env.gateway.client().await;
+    client.write(&idempotent_request(50_000)).await;
+    wait_until("the attempt", || endpoint.request_count() == 1).await;
+
+    drop(client);
+
+    wait_until("the end of the attempt's connection", || endpoint.connections_closed() == 1).await;
+    sleep_ms(300).await;
+    assert_eq!(endpoint.request_count(), 1);
+    assert_eq!(env.gateway.request(&idempotent_request(900)).await.status(), 200);
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn client_disconnect_does_not_eject_the_endpoint() {
+    let endpoint = TestEndpoint::start(&[ScriptedResponse::NoResponse, ScriptedResponse::ok("x")]).await;
+    let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
+    let mut client = env.gateway.client().await;
+    client.write(&non_idempotent_request(50_000)).await;
+    wait_until("the attempt", || endpoint.request_count() == 1).await;
+    // Longer than a request waits for an endpoint: an ejection for as long again would fail the next request.
+    sleep_ms(1000).await;
+
+    drop(client);
+    wait_until("the end of the attempt's connection", || endpoint.connections_closed() == 1).await;
+    let response = env.gateway.request(&non_idempotent_request(900)).await;
+
+    assert_eq!((response.status(), endpoint.request_count()), (200, 2));
+}
+
+/// Writes many requests at once to a suspended gateway, and disconnects.
+async fn flood(gateway: &GatewayProcess, kind: DisconnectKind) -> Option<TestClient> {
+    let mut client = gateway.client().await;
+    client.write(&(0..FLOOD_REQUESTS).map(|_| abandoned_request()).collect::<String>()).await;
+    end_and_wait(client, kind).await
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn floods_of_disconnected_clients_are_not_forwarded_and_leave_no_memory_behind() {
+    let endpoint = TestEndpoint::ok("x").await;
+    let env = TestEnvironment::start(&patient_options(&endpoint), CounterBehavior::Add).await;
+    let usual = || non_idempotent_request(LONG_DEADLINE_MS);
+    assert_eq!(env.gateway.request(&usual()).await.status(), 200);
+
+    let mut memory_after_round = Vec::new();
+    for _ in 0..5 {
+        let mut reading = Vec::new();
+        env.gateway.suspend();
+        for kind in DISCONNECT_KINDS.into_iter().cycle().take(9) {
+            reading.push(flood(&env.gateway, kind).await);
+        }
+        env.gateway.resume();
+        // Other clients are served meanwhile.
+        assert_eq!(env.gateway.request(&usual()).await.status(), 200);
+        drop(reading);
+        wait_until("the end of their connections", || env.gateway.open_descriptors() <= 20).await;
+        memory_after_round.push(env.gateway.resident_memory_kib());
+    }
+
+    assert_eq!((endpoint.requests_containing(ABANDONED), endpoint.request_count()), (0, 6));
+    // 1.9 MB came after the first round.
+    assert!(memory_after_round[4] < memory_after_round[0] + 1000, "{memory_after_round:?} KiB");
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn client_that_retries_at_once_after_each_rejection_does_not_block_others() {
+    let endpoint = TestEndpoint::ok("x").await;
+    let options = GatewayOptions { refill_rate: 0.01, burst: 1.0, ..patient_options(&endpoint) };
+    let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
+    let mut eager = env.gateway.client().await;
+    let mut statuses = Vec::new();
+
+    for n in 0..300 {
+        statuses.push(eager.request(&abandoned_request()).await.status());
+        if n % 30 == 0 {
+            let other = idempotent_request(LONG_DEADLINE_MS).replace("b4d65521", &format!("{n:08x}"));
+            assert_eq!(env.gateway.request(&other).await.status(), 200, "{n}");
+        }
+    }
+    // Pipelined requests are answered one by one, in their order, for as long as the client is connected.
+    eager.write(&(0..FLOOD_REQUESTS).map(|_| abandoned_request()).collect::<String>()).await;
+    for _ in 0..FLOOD_REQUESTS {
+        statuses.push(eager.read_response().await.status());
+    }
+
+    let count = |wanted: u16| statuses.iter().filter(|status| **status == wanted).count();
+    assert_eq!(count(200), 1);
+    assert_eq!((count(429), endpoint.requests_containing(ABANDONED)), (599, 1));
+}
--- /dev/null
+++ b/gateway/tests/client_requests.rs
@@ -0,0 +1,293 @@
+//! Requests of clients: which are valid, and how they are forwarded and answered.
+
+mod common;
+
+use common::{
+    Class, ConfigEdit, CounterBehavior, GatewayOptions, READINESS_REQUEST, RequestBuilder, ScriptedResponse,
+    TestEndpoint, TestEnvironment, idempotent_request, non_idempotent_request, sleep_ms, wait_until,
+    within_timeout,
+};
+use tokio::io::AsyncWriteExt;
+
+const DEADLINE_MS: u64 = 900;
+const MAX_BODY_BYTES: usize = 64 * 1024;
+
+/// A non-idempotent request with an empty body.
+fn request_without_body() -> String {
+    RequestBuilder::new(Class::NonIdempotent, DEADLINE_MS).build()
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn request_and_response_are_forwarded_unchanged() {
+    let response = "HTTP/1.1 200 OK\r\nX-Note: n\r\nContent-Type: a/b\r\nTransfer-Encoding: chunked\r\n\r\n\
+                    3\r\nab\n\r\n2\r\ncd\r\n0\r\n\r\n";
+    let endpoint = TestEndpoint::responding(ScriptedResponse::Write(response.into())).await;
+    let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
+    let mut client = env.gateway.client().await;
+    let request = RequestBuilder::new(Class::WithKey, DEADLINE_MS)
+        .header_lines("Content-Type: x/y\r\n")
+        .body("the body")
+        .build();
+
+    let response = client.request(&request).await;
+
+    assert_eq!((response.status(), response.body.as_slice()), (200, &b"ab\ncd"[..]));
+    assert_eq!(response.headers["x-note"], "n");
+    assert_eq!(response.headers["content-type"], "a/b");
+    client.expect_silence().await;
+    let forwarded = endpoint.requests();
+    assert_eq!(forwarded.len(), 1);
+    assert_eq!(forwarded[0].start_line, "POST /upsert/a%20b?c=d HTTP/1.1");
+    assert_eq!(forwarded[0].body, b"the body");
+    assert!(forwarded[0].headers["req-id"].starts_with("id-"));
+    assert!(forwarded[0].headers["idempotency-key"].starts_with("key-"));
+    assert_eq!(forwarded[0].headers["content-type"], "x/y");
+    let remaining_ms: u64 = forwarded[0].headers["req-deadline-ms"].parse().expect("a whole number");
+    assert!((1..DEADLINE_MS).contains(&remaining_ms), "{remaining_ms}");
+}
+
+/// A text in place of another in a valid request.
+struct Replacement {
+    old: &'static str,
+    new: &'static str,
+}
+
+const fn replace(old: &'static str, new: &'static str) -> Replacement {
+    Replacement { old, new }
+}
+
+/// What makes an idempotent request invalid.
+const INVALID_REPLACEMENTS: [Replacement; 27] = [
+    replace("/read/", "/unknown/"),
+    replace("GET", "POST"),
+    replace("Req-Id: ", "Req-Id: a b"),
+    replace("Req-Id", "X-Id"),
+    replace("Api-Plan: p", "Api-Plan: q"),
+    replace("Api-Plan", "X-Plan"),
+    replace("00000000b4d65521", "b4d65521"),
+    replace("00000000b4d65521", "00000002b4d65521"),
+    replace("00000000b4d65521", "00000000b4d6552x"),
+    replace("Api-Customer", "X-Tenant"),
+    replace("Req-Deadline-Ms: 900", "Req-Deadline-Ms: 0"),
+    replace("Req-Deadline-Ms: 900", "Req-Deadline-Ms: -1"),
+    replace("Req-Deadline-Ms: 900", "Req-Deadline-Ms: 1e99"),
+    replace("Req-Deadline-Ms: 900", "Req-Deadline-Ms: 99999999999"),
+    replace("Req-Deadline-Ms: 900", "Req-Deadline-Ms: +900"),
+    replace("Req-Deadline-Ms", "X-Deadline-Ms"),
+    replace("Api-Terms", "X-Terms"),
+    replace("units=1", "units=NaN"),
+    replace("units=1", "units=-1"),
+    replace("units=1", "units=1e300"),
+    replace("spread=1", "spread=0"),
+    replace("spread=1,", ""),
+    replace("spread=1", "spread=2"),
+    replace("spread=1", "spread=+1"),
+    replace("first=0", "first=1"),
+    replace("first=0", "first=99999999999"),
+    replace("first=0", "first=x"),
+];
+
+/// All invalid requests with the status of their responses.
+fn invalid_requests() -> Vec<(u16, String)> {
+    let good = idempotent_request(DEADLINE_MS);
+    let post = request_without_body();
+    let builder = |class| RequestBuilder::new(class, DEADLINE_MS);
+    let mut invalid: Vec<_> =
+        INVALID_REPLACEMENTS.iter().map(|Replacement { old, new }| (400, good.replace(old, new))).collect();
+    invalid.extend([
+        (404, good.replace("/read/a%20b?c=d", "/")),
+        (400, post.replace("POST", "GET")),
+        (400, builder(Class::WithKey).build().replace("Idempotency-Key", "X-Key")),
+        (400, builder(Class::NonIdempotent).header_lines("Idempotency-Key: k\r\n").build()),
+        (400, builder(Class::WithKey).header_lines("Idempotency-Key: again\r\n").build()),
+        (400, builder(Class::Idempotent).header_lines("Req-Retry: maybe\r\n").build()),
+        (400, builder(Class::Idempotent).header_lines("Content-Length: 1\r\n").body("x").build()),
+        (400, "what is this\r\n\r\n".into()),
+        (400, "GET /read HTTP/1.1\r\n X-Long: yyyyyyyy\r\n\r\n".into()),
+        (431, format!("GET /read HTTP/1.1\r\nX-Long: {}\r\n\r\n", "y".repeat(20_000))),
+        (400, post.replace("Content-Length: 0", "Content-Length: -1")),
+        (400, post.replace("Content-Length: 0", "Content-Length: x")),
+    ]);
+    invalid
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn invalid_request_is_answered_400_404_or_431_and_not_forwarded() {
+    let endpoint = TestEndpoint::ok("x").await;
+    let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
+
+    for (status, text) in invalid_requests() {
+        let mut client = env.gateway.client().await;
+        assert_eq!(client.request(&text).await.status(), status, "{text}");
+        client.expect_close().await;
+    }
+
+    assert_eq!(endpoint.request_count(), 0);
+    assert_eq!(env.gateway.request(&idempotent_request(DEADLINE_MS)).await.status(), 200);
+    assert_eq!(endpoint.request_count(), 1);
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn request_body_of_64_kib_is_forwarded_and_a_larger_one_rejected() {
+    let endpoint = TestEndpoint::ok("x").await;
+    let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
+    let largest = "y".repeat(MAX_BODY_BYTES);
+    let too_large = largest.clone() + "y";
+    let builder = || RequestBuilder::new(Class::NonIdempotent, DEADLINE_MS);
+    let chunked =
+        builder().header_lines("Transfer-Encoding: chunked\r\n").build().replace("Content-Length: 0\r\n", "")
+            + &format!("10001\r\n{too_large}\r\n0\r\n\r\n");
+
+    assert_eq!(env.gateway.request(&builder().body(&largest).build()).await.status(), 200);
+    assert!(endpoint.requests()[0].body == largest.as_bytes());
+    assert_eq!(env.gateway.request(&builder().body(&too_large).build()).await.status(), 413);
+    assert_eq!(env.gateway.request(&chunked).await.status(), 413);
+
+    assert_eq!(endpoint.request_count(), 1);
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn unanswered_request_gets_one_504_before_its_deadline() {
+    let endpoint = TestEndpoint::responding(ScriptedResponse::NoResponse).await;
+    let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
+    for class in [Class::Idempotent, Class::WithKey, Class::NonIdempotent] {
+        let attempts = endpoint.request_count();
+        let closed = endpoint.connections_closed();
+        let mut client = env.gateway.client().await;
+
+        let response = client.request(&RequestBuilder::new(class, 700).build()).await;
+
+        assert_eq!(response.status(), 504, "{class:?}");
+        client.expect_silence().await;
+        assert_eq!(endpoint.request_count(), attempts + 1, "{class:?}");
+        wait_until("the attempt's end", || endpoint.connections_closed() == closed + 1).await;
+        // An endpoint that has not responded is ejected for as long as that took.
+        sleep_ms(900).await;
+    }
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn request_with_both_content_length_and_transfer_encoding_is_rejected() {
+    let endpoint = TestEndpoint::ok("x").await;
+    let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
+    let smuggled = request_without_body();
+    let length = "Content-Length: 5\r\n";
+    let encoding = "Transfer-Encoding: chunked\r\n";
+    let with_headers = |lines: &str| request_without_body().replace("Content-Length: 0\r\n", lines);
+
+    // The HTTP library forgets a length that comes after the encoding.
+    for both in [[length, encoding], [encoding, length], [encoding, "content-LENGTH: 5\r\n"]] {
+        let text = with_headers(&both.concat()) + "0\r\n\r\n" + &smuggled;
+        let mut client = env.gateway.client().await;
+        assert_eq!(client.request(&text).await.status(), 400, "{text}");
+        client.expect_close().await;
+        // The same as the second request of a connection, after a response or pipelined.
+        let mut client = env.gateway.client().await;
+        assert_eq!(client.request(READINESS_REQUEST).await.status(), 200);
+        assert_eq!(client.request(&text).await.status(), 400, "{text}");
+        let mut client = env.gateway.client().await;
+        client.write(&(READINESS_REQUEST.to_owned() + &text)).await;
+        assert_eq!(client.read_response().await.status(), 200, "{text}");
+        assert_eq!(client.read_response().await.status(), 400, "{text}");
+        client.expect_close().await;
+    }
+    let gzip = with_headers("Transfer-Encoding: gzip, chunked\r\n") + "0\r\n\r\n";
+    assert_eq!(env.gateway.request(&gzip).await.status(), 400);
+    assert_eq!(endpoint.request_count(), 0);
+
+    let chunked = with_headers(encoding) + "5\r\nhello\r\n0\r\n\r\n";
+    assert_eq!(env.gateway.request(&chunked).await.status(), 200);
+    assert_eq!(endpoint.requests()[0].body, b"hello");
+    assert_eq!(endpoint.request_count(), 1);
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn request_id_of_a_request_in_progress_is_rejected() {
+    let endpoint = TestEndpoint::responding(ScriptedResponse::ok_after(500, "x")).await;
+    let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
+    let text = non_idempotent_request(5000);
+    let mut client = env.gateway.client().await;
+    client.write(&text).await;
+    wait_until("the attempt", || endpoint.request_count() == 1).await;
+
+    assert_eq!(env.gateway.request(&text).await.status(), 400);
+    assert_eq!(client.read_response().await.status(), 200);
+    assert_eq!(endpoint.request_count(), 1);
+
+    // Once the request is answered its id may be used again.
+    assert_eq!(client.request(&text).await.status(), 200);
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn connections_without_a_complete_request_are_closed_however_many_bytes_come() {
+    let env = TestEnvironment::with_endpoints(&[]).await;
+    let incomplete_body = request_without_body().replace("Content-Length: 0", "Content-Length: 60000");
+
+    env.gateway.client().await.expect_close().await;
+    for start in ["GET /read HTTP/1.1\r\nX-Slow: ", incomplete_body.as_str()] {
+        let mut client = env.gateway.client().await;
+        client.write(start).await;
+        let mut sent = 0;
+        within_timeout("the close", async {
+            while client.stream.get_mut().write_all(b"y").await.is_ok() {
+                sent += 1;
+                sleep_ms(50).await;
+            }
+        })
+        .await;
+        assert!(sent < 1000, "closed after {sent} bytes");
+    }
+
+    // A connection that is idle after a response is closed as well.
+    let mut client = env.gateway.client().await;
+    assert_eq!(client.request(READINESS_REQUEST).await.status(), 200);
+    client.expect_close().await;
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn class_and_plan_names_may_need_escaping_on_the_wire() {
+    let endpoint = TestEndpoint::ok("x").await;
+    let mut options = GatewayOptions::with_endpoint(endpoint.address);
+    options.config_edits = vec![
+        ConfigEdit::new(r#""name":"order""#, r#""name":"ord\u00e9r 50%\/b""#),
+        ConfigEdit::new(r#""name":"p""#, r#""name":"gro\u00df & co""#),
+    ];
+    let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
+    let mut client = env.gateway.client().await;
+    let request = |path: &str| {
+        non_idempotent_request(DEADLINE_MS).replace("/order", path).replace("Plan: p", "Plan: groß & co")
+    };
+
+    for path in ["/ord%C3%A9r%2050%25%2fb", "/ord%c3%a9r%2050%25%2Fb"] {
+        assert_eq!(client.request(&request(path)).await.status(), 200);
+    }
+    for path in ["/order", "/ord%C3%A9r%2050%25", "/ord%C3%A9r%2050%2fb", "/ord%C3%A9r%2050%25/b"] {
+        assert_eq!(env.gateway.request(&request(path)).await.status(), 400, "{path}");
+    }
+
+    let forwarded = endpoint.requests();
+    assert_eq!(forwarded.len(), 2);
+    let request_line = &forwarded[0].start_line;
+    assert!(request_line.starts_with("POST /ord%C3%A9r%2050%25%2fb/a%20b?c=d "), "{request_line}");
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn rejection_has_no_retry_after_where_the_settings_forbid_it() {
+    let endpoint = TestEndpoint::ok("x").await;
+    let mut options =
+        GatewayOptions { burst: 1.0, refill_rate: 0.01, ..GatewayOptions::with_endpoint(endpoint.address) };
+    for (permission, expected) in
+        [("", true), (r#","retry-after":true"#, true), (r#","retry-after":false"#, false)]
+    {
+        let with_permission = format!(r#""most-tries":6{permission}"#);
+        options.config_edits = vec![ConfigEdit::new(r#""most-tries":6"#, with_permission)];
+        let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
+        let mut client = env.gateway.client().await;
+        assert_eq!(client.request(&non_idempotent_request(DEADLINE_MS)).await.status(), 200);
+
+        let response = client.request(&non_idempotent_request(DEADLINE_MS)).await;
+
+        let has_retry_after = response.headers.contains_key("retry-after");
+        assert_eq!((response.status(), has_retry_after), (429, expected), "{permission}");
+    }
+}
--- /dev/null
+++ b/gateway/tests/common/mod.rs
@@ -0,0 +1,29 @@
+//! What the gateway's tests share: the gateway as a process, and test servers for all that it talks to.
+//!
+//! Servers listen on loopback ports that the system chooses. Tests wait for events, with timeouts that only a
+//! hang reaches.
+
+#![allow(dead_code, unused_imports)]
+
+mod clients;
+mod counter;
+pub mod disconnects;
+mod discovery;
+mod endpoints;
+mod gateway;
+mod http;
+mod sockets;
+mod wait;
+
+pub use clients::{
+    Class, READINESS_REQUEST, RequestBuilder, TestClient, idempotent_request, non_idempotent_request,
+};
+pub use counter::{CounterBehavior, TestCounter};
+pub use discovery::{TestDiscovery, delta, in_service, snapshot, terminated, terminating};
+pub use endpoints::{Piece, ScriptedResponse, TestEndpoint};
+pub use gateway::{ConfigEdit, GatewayOptions, GatewayProcess, TestEnvironment};
+pub use http::{HttpMessage, ok_response, read_message};
+pub use sockets::{
+    FullBacklog, LateConnections, PeerEnd, RefusingPort, wait_for_connection_attempt, wait_for_peer_end,
+};
+pub use wait::{TIMEOUT, sleep_ms, wait_until, within_timeout};
