--- a/fleet/src/attempts.rs
+++ b/fleet/src/attempts.rs
@@ -43,7 +43,7 @@
     pub(crate) id: u64,
     pub(crate) outcome: Outcome,
     pub(crate) request_finished: bool,
-    /// The load report of the endpoint, if there was a response.
+    /// Requests queued at the endpoint, from its load report; `None` without a response.
     pub(crate) queue_length: Option<f64>,
 }
 
--- a/fleet/src/clients.rs
+++ b/fleet/src/clients.rs
@@ -7,7 +7,7 @@
 use ryefront_policy::Millis;
 use std::f64::consts::TAU;
 
-/// One attempt of a client's request.
+/// A client's request, as its next attempt sends it.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientRequest {
     pub(crate) tenant: u32,
--- a/fleet/src/counter.rs
+++ b/fleet/src/counter.rs
@@ -1,4 +1,5 @@
-//! The shared counter: partitions, each of which serves one call after another at a fixed pace.
+//! The shared counter: partitions, each of which accepts calls at a fixed rate; the service time of a call is
+//! random.
 
 use crate::experiment;
 use crate::random::Random;
@@ -46,8 +47,8 @@
 /// The counter.
 pub(crate) struct Counter {
     totals: HashMap<u64, Total>,
-    /// When each partition has served the calls it has accepted.
-    partition_free_at: Vec<Micros>,
+    /// When each partition can start its next call.
+    next_start_at: Vec<Micros>,
     service_time: Micros,
     max_wait: Micros,
     client_timeout: Micros,
@@ -60,7 +61,7 @@
         let partition_calls_per_s = settings.calls_per_s * fraction / f64::from(settings.partitions);
         Self {
             totals: HashMap::new(),
-            partition_free_at: vec![0; settings.partitions as usize],
+            next_start_at: vec![0; settings.partitions as usize],
             service_time: (1e6 / partition_calls_per_s).round() as Micros,
             max_wait: time::from_ms(settings.max_wait_ms),
             client_timeout: (settings.timeout_ms * CLIENT_TIMEOUT_FACTOR * 1000.0) as Micros,
@@ -78,19 +79,18 @@
         if self.statistics.calls.is_multiple_of(CALLS_BETWEEN_CLEANUPS) {
             self.totals.retain(|_, total| total.expires_at > now);
         }
-        let partition = (call.key % self.partition_free_at.len() as u64) as usize;
-        let start = self.partition_free_at[partition].max(now);
+        let partition = (call.key % self.next_start_at.len() as u64) as usize;
+        let start = self.next_start_at[partition].max(now);
         if start - now > self.max_wait {
             self.statistics.rejected += 1;
             return CounterReply { result: CounterResult::NotAdded, at: now };
         }
-        self.partition_free_at[partition] = start + self.service_time;
+        self.next_start_at[partition] = start + self.service_time;
         let total = self.totals.entry(call.key).or_insert(Total { value: 0.0, expires_at: 0 });
         if total.expires_at <= now {
             *total = Total { value: 0.0, expires_at: now + time::from_ms(call.ttl) };
         }
         total.value += call.amount;
-        // Service times vary, while each partition accepts calls at a fixed pace.
         let factor = random.exponential().min(MAX_SERVICE_TIME_FACTOR);
         let at = start + (self.service_time as f64 * factor) as Micros;
         CounterReply { result: CounterResult::Total(total.value), at }
--- a/fleet/src/endpoint_list.rs
+++ b/fleet/src/endpoint_list.rs
@@ -1,5 +1,5 @@
 //! The gateway's own endpoint list code: its parser and its registry. Nothing else of the gateway is used,
-//! but for the watch in `slopes`.
+//! except the watch, its timing and the engine in `slopes::list_watch`.
 
 use ryefront_gateway::discovery::EndpointList as ParsedList;
 pub(crate) use ryefront_gateway::discovery::EndpointListError;
--- a/fleet/src/endpoints.rs
+++ b/fleet/src/endpoints.rs
@@ -179,30 +179,31 @@
     }
 
     /// The fraction of its capacity that an endpoint has.
-    fn slow_start_progress(&self, endpoint: u32, now: Micros) -> f64 {
+    fn capacity_fraction(&self, endpoint: u32, now: Micros) -> f64 {
         let Some(started_at) = self.get(endpoint).started_at else { return 1.0 };
         let settings = &self.settings;
-        let age = (now.saturating_sub(started_at) as f64 / (settings.slow_start_s * 1e6)).min(1.0);
-        settings.slow_start_initial_fraction + (1.0 - settings.slow_start_initial_fraction) * age
+        let slow_start_progress =
+            (now.saturating_sub(started_at) as f64 / (settings.slow_start_s * 1e6)).min(1.0);
+        settings.slow_start_initial_fraction
+            + (1.0 - settings.slow_start_initial_fraction) * slow_start_progress
     }
 
     /// Records that a gateway sends an attempt.
     pub(crate) fn record_attempt(&mut self, number: u32, gateway: u32, now: Micros) {
-        let progress = self.slow_start_progress(number, now);
+        let capacity_fraction = self.capacity_fraction(number, now);
         let endpoint = &mut self.all[number as usize];
         endpoint.attempts += 1;
         endpoint.senders[(gateway / u64::BITS) as usize] |= 1 << (gateway % u64::BITS);
-        if progress >= 1.0 {
+        if capacity_fraction >= 1.0 {
             endpoint.recent_attempts.clear();
         } else {
-            self.record_slow_start_attempt(number, progress, now);
+            self.record_slow_start_attempt(number, capacity_fraction, now);
         }
     }
 
-    /// Compares the attempts of all gateways within the overload window with what the endpoint bears: the
-    /// budget is N + 2 sqrt(N) + 2, where N is the overload factor times the present capacity over the
-    /// window, as chance alone exceeds N.
-    fn record_slow_start_attempt(&mut self, number: u32, progress: f64, now: Micros) {
+    /// Compares the attempts of all gateways within the overload window with their budget, which
+    /// [`SlowStartLoad`](crate::report::SlowStartLoad) defines.
+    fn record_slow_start_attempt(&mut self, number: u32, capacity_fraction: f64, now: Micros) {
         let settings = &self.settings;
         let endpoint = &mut self.all[number as usize];
         let window = time::from_s(settings.overload_window_s);
@@ -210,7 +211,7 @@
         while endpoint.recent_attempts.front().is_some_and(|at| at + window <= now) {
             endpoint.recent_attempts.pop_front();
         }
-        let per_s = f64::from(settings.cores) * endpoint.speed * progress / self.mean_work * 1e6;
+        let per_s = f64::from(settings.cores) * endpoint.speed * capacity_fraction / self.mean_work * 1e6;
         let mean = settings.overload_factor * per_s * settings.overload_window_s;
         let budget = mean + 2.0 * mean.sqrt() + 2.0;
         let attempts = endpoint.recent_attempts.len() as u64;
@@ -252,6 +253,6 @@
     }
 
     fn service_time(&self, number: u32, job: Job, now: Micros) -> Micros {
-        (job.work / (self.get(number).speed * self.slow_start_progress(number, now))).ceil() as Micros
+        (job.work / (self.get(number).speed * self.capacity_fraction(number, now))).ceil() as Micros
     }
 }
--- a/fleet/src/experiment/file.rs
+++ b/fleet/src/experiment/file.rs
@@ -4,7 +4,8 @@
 use ryefront_policy::{DedupScope, RequestClass};
 use serde::Deserialize;
 
-/// An experiment. Times are in milliseconds (`_ms`) or seconds (`_s`), fractions are between 0 and 1.
+/// An experiment. Times are in milliseconds (`_ms`) or seconds (`_s`). The range of each figure is in
+/// `validate`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
@@ -101,7 +102,7 @@
     pub within_region_ms: f64,
     /// Between regions.
     pub cross_region_ms: f64,
-    /// The fraction by which a delay may be longer.
+    /// The most by which a delay is longer, as a factor on the delay.
     pub jitter: f64,
 }
 
@@ -168,10 +169,11 @@
     /// How long an endpoint takes to reach its full capacity.
     #[serde(rename = "cold_s")]
     pub slow_start_s: f64,
-    /// An endpoint in slow start fails above this multiple of its present capacity.
+    /// Overload factor: attempts above this multiple of an endpoint's present capacity within the overload
+    /// window violate an invariant. The model never fails an endpoint for it.
     #[serde(rename = "fall_multiple")]
     pub overload_factor: f64,
-    /// The time over which that load is measured.
+    /// The overload window: the time over which those attempts are counted.
     #[serde(rename = "fall_s")]
     pub overload_window_s: f64,
     /// Round trips of a new connection.
@@ -295,10 +297,10 @@
     /// The fraction of the gateways that serves a tenant.
     #[serde(rename = "spread")]
     pub gateway_fraction: Interval<f64>,
-    /// The fraction of its weight that a request beyond the quota earns.
+    /// What a request beyond the quota earns, as a factor on its weight.
     #[serde(rename = "over_worth")]
     pub over_quota_weight: f64,
-    /// The fraction of its weight that a request beyond the quota costs.
+    /// What a request beyond the quota costs, as a factor on its weight.
     #[serde(rename = "over_cost")]
     pub over_quota_cost: f64,
 }
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The gateways are the real policy engine and the real endpoint list code without sockets. They share one
 //! process and one virtual clock with models of clients, tenants, counter, discovery, network and endpoints.
-//! [`run`] simulates an experiment, [`slopes`] measures what each role costs.
+//! [`run`] simulates an experiment, [`slopes`] measures what each endpoint, tenant and route costs a gateway.
 //!
 //! A simulation never reads the time of day: the same experiment and seed give the same result, byte for
 //! byte.
--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -10,7 +10,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{self, ExitCode};
 
-/// A model of a fleet of gateways: what each role costs, and how a complete fleet performs.
+/// A model of a fleet of gateways: what each endpoint, tenant and route costs a gateway, and how a complete
+/// fleet performs.
 ///
 /// The gateways' policy engine and endpoint list code are real; clients, counter, discovery, network and
 /// endpoints are modelled, in virtual time. Logs are written to standard error.
@@ -23,11 +24,11 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Measure what one unit of each role costs, in time and bytes, up to the target sizes.
+    /// Measure what each endpoint, tenant and route costs a gateway, in time and bytes, up to the target sizes.
     ///
-    /// Nothing is modelled: the real policy engine and the real endpoint list code are timed alone, on one
-    /// core, and a line or a logarithm is fitted through the points and evaluated at the target (26,000
-    /// endpoints, 300,000 tenants, 15,000 routes). The number of gateways is proportional to the endpoints as
+    /// The gateway's real policy engine and endpoint list code are timed on one core, on a clock and counter
+    /// totals kept by the benchmark. A line or a logarithm is fitted through the points and evaluated at the
+    /// target (26,000 endpoints, 300,000 tenants, 15,000 routes). The number of gateways is proportional to the endpoints as
     /// at the target (3,100 to 26,000), and at least 300. A route is a request class of the settings. Bytes
     /// are the growth of resident memory of a separate process for each size. Run it from a release build
     /// on a machine that is not busy.
@@ -39,8 +40,8 @@
     /// Simulate an experiment and print its result.
     ///
     /// The summary is written to standard output. The same file and seed give the same result, byte for byte.
-    /// The status is 0 if all invariants held, 1 if one was violated (standard error says which), 2 if the
-    /// file cannot be used.
+    /// The status is 0 if all invariants held, 1 if one was violated (standard error says which), 2 if the run
+    /// could not be completed.
     ///
     /// Try: ryefront-fleet run fleet/experiments/calm-300.toml --gateways 30
     Run {
@@ -80,8 +81,8 @@
     }
 }
 
-/// The exit status for a file or an option that cannot be used.
-const UNUSABLE: u8 = 2;
+/// The exit status for a run that could not be completed.
+const EXIT_ERROR: u8 = 2;
 
 fn main() -> ExitCode {
     tracing_subscriber::fmt().with_writer(io::stderr).with_ansi(false).init();
@@ -92,7 +93,7 @@
     };
     result.unwrap_or_else(|error| {
         eprintln!("{error}");
-        UNUSABLE.into()
+        EXIT_ERROR.into()
     })
 }
 
--- a/fleet/src/report/metrics.rs
+++ b/fleet/src/report/metrics.rs
@@ -18,7 +18,7 @@
     OnArrival,
     /// On a reply of the counter.
     OnCounterReply,
-    /// After a wait for the counter or for capacity.
+    /// On any other event, mostly the end of a wait for the counter or for capacity.
     WaitExpired,
 }
 
--- a/fleet/src/report/result.rs
+++ b/fleet/src/report/result.rs
@@ -45,7 +45,8 @@
     pub on_arrival: u64,
     /// On a reply of the counter, though the tenant had the units.
     pub on_counter_reply: u64,
-    /// After a wait for the counter or for capacity, though the tenant had the units.
+    /// On any other event, mostly the end of a wait for the counter or for capacity, though the tenant had the
+    /// units.
     pub wait_expired: u64,
 }
 
@@ -128,9 +129,9 @@
     pub delta_bytes_per_gateway: f64,
 }
 
-/// Attempts sent to endpoints in slow start, and their budget: within the overload window all gateways
-/// together send at most N + 2 sqrt(N) + 2, where N is the overload factor times the endpoint's present
-/// capacity.
+/// Attempts that all gateways together sent to endpoints in slow start, and their budget within an overload
+/// window: N + 2 sqrt(N) + 2, where N is the overload factor times the attempts that the endpoint's present
+/// capacity serves within the window. Chance alone exceeds N.
 #[derive(Clone, Debug, Serialize)]
 pub struct SlowStartLoad {
     /// Endpoints that started.
--- a/fleet/src/requests.rs
+++ b/fleet/src/requests.rs
@@ -18,7 +18,7 @@
     },
     Rejected {
         retry_after: Millis,
-        /// The event that led to it.
+        /// The reason that follows from the event alone; `record_rejected` refines it.
         reason: RejectionReason,
     },
     Failed,
--- a/fleet/src/simulation.rs
+++ b/fleet/src/simulation.rs
@@ -49,7 +49,7 @@
     discovery: Discovery,
     network: Network,
     requests: Requests<'a>,
-    /// The reason of a rejection that the event being handled leads to.
+    /// The reason of a rejection that follows from the event being handled alone.
     rejection_reason: RejectionReason,
     service_random: Random,
     metrics: Metrics,
@@ -198,8 +198,8 @@
                 self.events.schedule(self.now + delay, SimEvent::CounterCalled(call));
             }
             Action::Log(text) => tracing::debug!(gateway, "{text}"),
-            // The model cancels attempts itself when a client disconnects, and its settings allow none of the
-            // others.
+            // The model cancels attempts itself when a client disconnects, and the policy emits none of these
+            // with the settings of `gateway_process::settings`.
             Action::CancelAttempt { .. }
             | Action::HealthCheck { .. }
             | Action::Gossip { .. }
--- a/fleet/src/slopes/fit.rs
+++ b/fleet/src/slopes/fit.rs
@@ -97,11 +97,11 @@
     pub size: Dimension,
     /// The measured values, smallest size first.
     pub points: Vec<Point>,
-    /// The function that fits better.
+    /// The fitted function, or `Fit::None` where none was fitted.
     pub fit: Fit,
-    /// Its slope.
+    /// The slope of that function; 0 where none was fitted.
     pub slope: f64,
-    /// Its value where the size, or its logarithm, is 0.
+    /// Its value where the size, or its logarithm, is 0; where none was fitted, the value at the largest size.
     pub intercept: f64,
     /// The target size.
     pub target: f64,
--- a/fleet/src/slopes/mod.rs
+++ b/fleet/src/slopes/mod.rs
@@ -1,6 +1,6 @@
-//! What one unit of each role costs, in time and in bytes, by the size of the fleet: the real code alone,
-//! with nothing modelled around it. A line or a logarithm is fitted through the points and evaluated at the
-//! target size.
+//! What each endpoint, tenant and route costs a gateway, in time and in bytes: the gateway's real code, on a
+//! clock and counter totals kept by the benchmark. A line or a logarithm is fitted through the points and
+//! evaluated at the target size.
 //!
 //! - `measure`: which figures are measured, and what is required of them.
 //! - `subject`: the gateway code that is measured.
--- a/fleet/src/tenants.rs
+++ b/fleet/src/tenants.rs
@@ -108,7 +108,8 @@
         (tenant.remaining + quota.rate * (now - tenant.charged_at) as f64 / 1e6).min(quota.burst)
     }
 
-    /// Charges the units of a request that reached an endpoint.
+    /// Records the units used by a request that reached an endpoint, and deducts them from the quota if it has
+    /// as many left.
     pub(crate) fn charge(&mut self, tenant: u32, units: f64, now: Micros) -> QuotaCheck {
         let remaining = self.remaining(tenant, now);
         let tenant = &mut self.all[tenant as usize];
