--- a/fleet/src/gateway_process.rs
+++ b/fleet/src/gateway_process.rs
@@ -8,8 +8,8 @@
 use crate::time::{self, Micros};
 use ryefront_policy::{Action, Event, LoadReportSource, PolicyEngine, QuotaPlan, Settings, SettingsError};
 
-const MAX_ATTEMPTS: u32 = 6;
-const CROSS_ZONE_COST: f64 = 0.01;
+pub(crate) const MAX_ATTEMPTS: u32 = 6;
+pub(crate) const CROSS_ZONE_COST: f64 = 0.01;
 
 /// The settings of a gateway.
 pub(crate) fn settings(experiment: &Experiment, gateways: u32, index: u32, zone: u32) -> Settings {
--- a/fleet/src/slopes/fit.rs
+++ b/fleet/src/slopes/fit.rs
@@ -73,7 +73,15 @@
     }
 }
 
-/// The most that a value may be.
+/// What is required of a figure: a value of it, and the most that this may be.
+pub(super) struct Limit {
+    /// In words.
+    pub(super) description: &'static str,
+    pub(super) value: f64,
+    pub(super) limit: f64,
+}
+
+/// A [`Limit`], and whether it is met.
 #[derive(Clone, Debug, Serialize)]
 pub struct Requirement {
     /// In words.
@@ -165,22 +173,24 @@
     pub(super) fn unfitted(mut self) -> Self {
         self.fit = Fit::None;
         self.slope = 0.0;
-        self.intercept = self.last();
+        self.intercept = self.value_at_largest_size();
         self.at_target = self.intercept;
         self
     }
 
     /// The value at the largest size.
-    pub(super) fn last(&self) -> f64 {
+    pub(super) fn value_at_largest_size(&self) -> f64 {
         self.points.last().map_or(0.0, |point| point.value)
     }
 
     /// The value at the largest size, relative to that at the smallest.
     pub(super) fn growth(&self) -> f64 {
-        self.last() / self.points.first().map_or(1.0, |point| point.value).max(1e-9)
+        self.value_at_largest_size() / self.points.first().map_or(1.0, |point| point.value).max(1e-9)
     }
 
-    pub(super) fn require(mut self, description: &'static str, value: f64, limit: f64) -> Self {
+    /// The figure with what is required of it.
+    pub(super) fn require(mut self, limit: Limit) -> Self {
+        let Limit { description, value, limit } = limit;
         self.requirement = Some(Requirement { description, value, limit, met: value <= limit });
         self
     }
--- a/fleet/src/slopes/list_watch.rs
+++ b/fleet/src/slopes/list_watch.rs
@@ -1,7 +1,7 @@
 //! A complete endpoint list over a loopback socket, through the gateway's real watch.
 
 use super::error::SlopesError;
-use super::subject::{IDLE_TIMEOUT, gateway_count, settings, snapshot};
+use super::measured_gateway::{FIRST_VERSION, FleetSize, IDLE_TIMEOUT, settings, snapshot};
 use crate::endpoint_list::Registry;
 use ryefront_gateway::discovery::backoff::PollTiming;
 use ryefront_gateway::discovery::watch_endpoints;
@@ -12,14 +12,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A list that is not applied by then counts as not read.
+/// A list that is not applied within this time counts as not applied.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// A list that was sent so often without being applied counts as not read.
+/// A list that was sent this often without being applied counts as not applied.
 const MAX_RESPONSES: u32 = 3;
+/// The version that a gateway without a list names.
+const NO_VERSION: u64 = 0;
 const SEED: u64 = 7;
 
-/// Whether a gateway reads and applies a list of so many endpoints.
-pub(super) fn is_list_read(endpoints: usize) -> Result<bool, SlopesError> {
+/// Whether a gateway reads and applies a snapshot of `endpoints` endpoints.
+pub(super) fn is_snapshot_applied(endpoints: usize) -> Result<bool, SlopesError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let list = snapshot(endpoints);
     let local = tokio::task::LocalSet::new();
@@ -27,20 +29,27 @@
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let (_sender, address) = tokio::sync::watch::channel(listener.local_addr()?);
         let registry = Registry::new(IDLE_TIMEOUT).shared();
-        let settings = Settings { has_counter: false, ..settings(gateway_count(endpoints), 1) };
+        let settings = Settings { has_counter: false, ..settings(FleetSize::in_proportion(endpoints)) };
         let engine = Engine::start(settings, SEED, registry, None)?;
-        tokio::task::spawn_local(watch_endpoints(address, 0, SEED, PollTiming::SHARED_SERVICE, engine));
+        tokio::task::spawn_local(watch_endpoints(
+            address,
+            NO_VERSION,
+            SEED,
+            PollTiming::SHARED_SERVICE,
+            engine,
+        ));
         Ok(tokio::time::timeout(READ_TIMEOUT, serve_list(&listener, &list)).await.unwrap_or(Ok(false))?)
     })
 }
 
 /// Responds with a list until a request says that it was applied.
 async fn serve_list(listener: &TcpListener, list: &str) -> io::Result<bool> {
+    let applied_query = format!("after={FIRST_VERSION}&");
     let mut responses = 0;
     loop {
         let (mut stream, _) = listener.accept().await?;
         while let Some(head) = read_request_head(&mut stream).await? {
-            if head.contains("after=1&") {
+            if head.contains(&applied_query) {
                 return Ok(true);
             }
             if responses == MAX_RESPONSES {
--- a/fleet/src/slopes/measure.rs
+++ b/fleet/src/slopes/measure.rs
@@ -1,10 +1,12 @@
 //! Which figures are measured, at which sizes, and what is required of them.
 
 use super::error::SlopesError;
-use super::fit::{Dimension, Point, Slope};
-use super::list_watch::is_list_read;
+use super::fit::{Dimension, Limit, Point, Slope};
+use super::list_watch::is_snapshot_applied;
+use super::measured_gateway::{
+    FleetSize, MIN_GATEWAYS, MeasuredGateway, delta, route_name, snapshot, tenant_name,
+};
 use super::memory::MemoryLoad;
-use super::subject::{MIN_GATEWAYS, Subject, delta, gateway_count, route_name, snapshot, tenant_name};
 use ryefront_policy::Name;
 use std::time::{Duration, Instant};
 
@@ -26,7 +28,7 @@
     pub tenants: Vec<usize>,
     /// Routes.
     pub routes: Vec<usize>,
-    /// Each measurement is repeated for so long.
+    /// The time for which each measurement is repeated.
     pub measured_for: Duration,
 }
 
@@ -89,11 +91,13 @@
     }
 
     /// The median of a time that is measured repeatedly, µs.
-    fn median(&self, mut measure: impl FnMut() -> Result<Duration, SlopesError>) -> Result<f64, SlopesError> {
+    fn median_us(
+        &self, mut measure: impl FnMut() -> Result<Duration, SlopesError>,
+    ) -> Result<f64, SlopesError> {
         let start = Instant::now();
         let mut times = Vec::new();
         while times.len() < MIN_REPETITIONS
-            || times.len() < MAX_REPETITIONS && start.elapsed() < self.sizes.measured_for
+            || (times.len() < MAX_REPETITIONS && start.elapsed() < self.sizes.measured_for)
         {
             times.push(measure()?.as_secs_f64() * 1e6);
         }
@@ -103,69 +107,78 @@
 
     fn requests(&self) -> Result<Vec<Slope>, SlopesError> {
         let by_endpoints = self.by_size("one request's decisions", "us", Dimension::Endpoints, |n| {
-            self.request_before(n, gateway_count(n))
+            self.request_time(FleetSize::in_proportion(n))
         })?;
-        let growth = by_endpoints.growth();
         let few_gateways =
             self.by_size("one request's decisions, 300 gateways", "us", Dimension::Endpoints, |n| {
-                self.request_before(n, MIN_GATEWAYS)
+                self.request_time(FleetSize { endpoints: n, gateways: MIN_GATEWAYS, routes: 1 })
             })?;
         let by_tenants =
             self.by_size("one request's decisions, tenants known", "us", Dimension::Tenants, |n| {
-                let mut subject = Subject::with_tenants(n)?;
+                let mut gateway = MeasuredGateway::with_tenants(n)?;
                 let tenants = alternating_names(n, tenant_name);
-                self.alternating_requests(&mut subject, &tenants, &[route_name(0)])
+                self.alternating_requests(&mut gateway, &tenants, &[route_name(0)])
             })?;
         let by_routes = self.by_size("one request's decisions, routes", "us", Dimension::Routes, |n| {
-            let mut subject = Subject::with_endpoints(1, 1, n)?;
-            self.alternating_requests(&mut subject, &[tenant_name(1)], &alternating_names(n, route_name))
+            let mut gateway = MeasuredGateway::with_list(FleetSize { routes: n, ..FleetSize::ONE })?;
+            self.alternating_requests(&mut gateway, &[tenant_name(1)], &alternating_names(n, route_name))
         })?;
-        let by_endpoints =
-            by_endpoints.require("largest over smallest: at most 2 times", growth, MAX_REQUEST_GROWTH);
-        Ok(vec![by_endpoints, few_gateways, by_tenants, by_routes])
+        let limit = Limit {
+            description: "largest over smallest: at most 2 times",
+            value: by_endpoints.growth(),
+            limit: MAX_REQUEST_GROWTH,
+        };
+        Ok(vec![by_endpoints.require(limit), few_gateways, by_tenants, by_routes])
     }
 
-    /// The decisions for one request before so many endpoints.
-    fn request_before(&self, endpoints: usize, gateways: u32) -> Result<f64, SlopesError> {
-        let mut subject = Subject::with_endpoints(endpoints, gateways, 1)?;
+    /// The median time of one request in a fleet of this size, µs.
+    fn request_time(&self, size: FleetSize) -> Result<f64, SlopesError> {
+        let mut gateway = MeasuredGateway::with_list(size)?;
         let tenant = tenant_name(1);
         let class = route_name(0);
-        subject.request(&tenant, &class)?;
-        self.median(|| {
-            subject.advance();
-            Ok(subject.request(&tenant, &class)?.time)
+        gateway.request(&tenant, &class)?;
+        self.median_us(|| {
+            gateway.advance();
+            Ok(gateway.request(&tenant, &class)?.time)
         })
     }
 
     fn alternating_requests(
-        &self, subject: &mut Subject, tenants: &[Name], classes: &[Name],
+        &self, gateway: &mut MeasuredGateway, tenants: &[Name], classes: &[Name],
     ) -> Result<f64, SlopesError> {
         let mut n = 0;
-        self.median(|| {
+        self.median_us(|| {
             n += 1;
-            Ok(subject.request(&tenants[n % tenants.len()], &classes[n % classes.len()])?.time)
+            Ok(gateway.request(&tenants[n % tenants.len()], &classes[n % classes.len()])?.time)
         })
     }
 
     fn snapshots(&self) -> Result<Vec<Slope>, SlopesError> {
         let first = self.by_size("endpoint list snapshot, first", "ms", Dimension::Endpoints, |n| {
             let text = snapshot(n);
-            let us = self.median(|| Ok(Subject::new(gateway_count(n), 1)?.apply(&text)?))?;
+            let us = self.median_us(|| {
+                Ok(MeasuredGateway::without_list(FleetSize::in_proportion(n))?.apply(&text)?)
+            })?;
             Ok(us / 1000.0)
         })?;
         let repeated = self.by_size("endpoint list snapshot, repeated", "ms", Dimension::Endpoints, |n| {
-            let mut subject = Subject::with_endpoints(n, gateway_count(n), 1)?;
+            let mut gateway = MeasuredGateway::with_list(FleetSize::in_proportion(n))?;
             let text = snapshot(n);
-            let us = self.median(|| Ok(subject.apply(&text)?))?;
+            let us = self.median_us(|| Ok(gateway.apply(&text)?))?;
             Ok(us / 1000.0)
         })?;
-        let first_ms = first.last();
-        let repeated_ms = repeated.last();
+        let limit = |slope: &Slope| Limit {
+            description: "under 50 ms",
+            value: slope.value_at_largest_size(),
+            limit: MAX_SNAPSHOT_MS,
+        };
+        let first_limit = limit(&first);
+        let repeated_limit = limit(&repeated);
         Ok(vec![
             per_entry("one list entry applied, first", &first),
             per_entry("one list entry applied, repeated", &repeated),
-            first.require("under 50 ms", first_ms, MAX_SNAPSHOT_MS),
-            repeated.require("under 50 ms", repeated_ms, MAX_SNAPSHOT_MS),
+            first.require(first_limit),
+            repeated.require(repeated_limit),
             self.by_size("endpoint list snapshot, its text", "bytes", Dimension::Endpoints, |n| {
                 Ok(snapshot(n).len() as f64)
             })?,
@@ -175,50 +188,50 @@
     fn snapshot_over_socket(&self) -> Result<Slope, SlopesError> {
         let name = "endpoint list snapshot over a socket";
         let slope = self.by_size(name, "1 if read", Dimension::Endpoints, |n| {
-            Ok(f64::from(u8::from(is_list_read(n)?)))
+            Ok(f64::from(u8::from(is_snapshot_applied(n)?)))
         })?;
         let unread = slope.points.iter().filter(|point| point.value < 1.0).count() as f64;
-        Ok(slope.unfitted().require("sizes that are not read: none", unread, 0.0))
+        let limit = Limit { description: "sizes that are not read: none", value: unread, limit: 0.0 };
+        Ok(slope.unfitted().require(limit))
     }
 
     fn deltas(&self) -> Result<Vec<Slope>, SlopesError> {
         let applied = self.by_size("delta of 10 endpoints", "us", Dimension::Endpoints, |n| {
-            let mut subject = Subject::with_endpoints(n, gateway_count(n), 1)?;
+            let mut gateway = MeasuredGateway::with_list(FleetSize::in_proportion(n))?;
             let mut round = 0;
-            self.median(|| {
+            self.median_us(|| {
                 round += 1;
-                Ok(subject.apply(&delta(round))?)
+                Ok(gateway.apply(&delta(round))?)
             })
         })?;
         let next_request =
             self.by_size("first request after such a delta", "us", Dimension::Endpoints, |n| {
-                let mut subject = Subject::with_endpoints(n, gateway_count(n), 1)?;
+                let mut gateway = MeasuredGateway::with_list(FleetSize::in_proportion(n))?;
                 let mut round = 0;
-                self.median(|| {
+                self.median_us(|| {
                     round += 1;
-                    subject.advance();
-                    subject.apply(&delta(round))?;
-                    Ok(subject.request(&tenant_name(1), &route_name(0))?.time)
+                    gateway.advance();
+                    gateway.apply(&delta(round))?;
+                    Ok(gateway.request(&tenant_name(1), &route_name(0))?.time)
                 })
             })?;
-        let growth = applied.growth();
-        let applied = applied.require(
-            "largest over smallest: at most 4 times (130 if every endpoint were visited)",
-            growth,
-            MAX_DELTA_GROWTH,
-        );
-        Ok(vec![applied, next_request])
+        let limit = Limit {
+            description: "largest over smallest: at most 4 times (130 if every endpoint were visited)",
+            value: applied.growth(),
+            limit: MAX_DELTA_GROWTH,
+        };
+        Ok(vec![applied.require(limit), next_request])
     }
 
     fn maintenance(&self) -> Result<Vec<Slope>, SlopesError> {
         let by_endpoints =
             self.by_size("maintenance tick, endpoints known", "us", Dimension::Endpoints, |n| {
-                let mut subject = Subject::with_endpoints(n, gateway_count(n), 1)?;
-                self.median(|| Ok(subject.maintain()))
+                let mut gateway = MeasuredGateway::with_list(FleetSize::in_proportion(n))?;
+                self.median_us(|| Ok(gateway.maintain()))
             })?;
         let by_tenants = self.by_size("maintenance tick, tenants known", "us", Dimension::Tenants, |n| {
-            let mut subject = Subject::with_tenants(n)?;
-            self.median(|| Ok(subject.maintain()))
+            let mut gateway = MeasuredGateway::with_tenants(n)?;
+            self.median_us(|| Ok(gateway.maintain()))
         })?;
         Ok(vec![by_endpoints, by_tenants])
     }
@@ -226,11 +239,11 @@
     fn new_leases(&self) -> Result<Slope, SlopesError> {
         let name = "new lease: arrival, counter call, reply";
         self.by_size(name, "us", Dimension::Tenants, |n| {
-            let mut subject = Subject::with_tenants(n)?;
+            let mut gateway = MeasuredGateway::with_tenants(n)?;
             let mut new_tenant = n;
-            self.median(|| {
+            self.median_us(|| {
                 new_tenant += 1;
-                let cost = subject.request(&tenant_name(new_tenant), &route_name(0))?;
+                let cost = gateway.request(&tenant_name(new_tenant), &route_name(0))?;
                 if cost.counter_calls == 1 { Ok(cost.time) } else { Err(SlopesError::NoCounterCall) }
             })
         })
@@ -248,7 +261,7 @@
     }
 }
 
-/// Names that are spread evenly over so many.
+/// [`ALTERNATING_NAMES`] names that are spread evenly over `count`.
 fn alternating_names(count: usize, name: impl Fn(usize) -> Name) -> Vec<Name> {
     (0..ALTERNATING_NAMES).map(|n| name(n * count / ALTERNATING_NAMES)).collect()
 }
--- a/fleet/src/slopes/subject.rs
+++ b/fleet/src/slopes/measured_gateway.rs
@@ -1,10 +1,11 @@
-//! The code that is measured: a policy engine and an endpoint registry, with a private clock and
-//! counter.
+//! The gateway code that is measured: a policy engine and an endpoint registry, with a clock and counter totals
+//! kept here.
 
 use super::error::SlopesError;
 use super::fit::Dimension;
 use crate::discovery::{ListEntry, ListKind, list_text};
-use crate::endpoint_list::{EndpointList, EndpointListError, Registry};
+use crate::endpoint_list::{CONNECT_TIMEOUT_MS, EndpointList, EndpointListError, Registry};
+use crate::gateway_process::{CROSS_ZONE_COST, MAX_ATTEMPTS};
 use ryefront_policy::{
     Action, Arrival, AttemptEnd, CounterResult, DedupScope, EndpointState, Event, Idempotency,
     LoadReportSource, Millis, Name, Outcome, PolicyEngine, QuotaPlan, RequestClass, Settings, SettingsError,
@@ -18,31 +19,62 @@
 pub(super) const MIN_GATEWAYS: u32 = 300;
 /// The time between two requests at one gateway, of 490,000 requests per second over 3,100 gateways.
 const REQUEST_INTERVAL: Millis = 1000.0 / 158.0;
-/// The token of the policy engine's maintenance timer.
+/// The token of the policy engine's maintenance timer; as `MAINTENANCE_TOKEN` in policy/src/engine.rs.
 const MAINTENANCE_TOKEN: u64 = 1;
+/// The version of a snapshot.
+pub(super) const FIRST_VERSION: u64 = 1;
 /// Endpoints that one delta changes.
 const DELTA_SIZE: usize = 10;
-/// Between the endpoints that a delta changes, so that they belong to different cells and zones.
+/// The distance between the endpoints that a delta changes, so that they belong to different cells and zones.
 const DELTA_STRIDE: usize = 7;
 const ZONES: u32 = 6;
 const CELL_SIZE: u64 = 24;
 const SEED: u64 = 7;
-const START: Millis = 1e9;
+/// The gateway's clock at the start.
+const EPOCH: Millis = 1e9;
+const TICK: Millis = 1.0;
+const PLAN_NAME: &str = "plan";
+/// Units per second: many for each gateway, so that no request is rejected.
+const PLAN_RATE: f64 = 1000.0;
+const PLAN_BURST: f64 = 10_000.0;
+const COUNTER_TIMEOUT: Millis = 30.0;
+const MAX_RETRY_AFTER: Millis = 1000.0;
+const SLOW_START_INITIAL_FRACTION: f64 = 0.35;
+const SLOW_START_DURATION: Millis = 10_000.0;
+const OVERLOAD_FACTOR: f64 = 2.5;
+const OVERLOAD_WINDOW: Millis = 1000.0;
+const LATENCY_OBJECTIVE: Millis = 1000.0;
+const TIME_TO_DEADLINE: Millis = 3000.0;
+const ATTEMPT_LATENCY: Millis = 80.0;
+const COUNTER_LATENCY: Millis = 1.0;
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The number of gateways for so many endpoints: in proportion to the target.
-pub(super) fn gateway_count(endpoints: usize) -> u32 {
-    let target_endpoints = Dimension::Endpoints.target() as f64;
-    let proportional = endpoints as f64 * f64::from(TARGET_GATEWAYS) / target_endpoints;
-    MIN_GATEWAYS.max(proportional as u32)
+/// The size of the fleet that a gateway is part of, and of its settings.
+#[derive(Clone, Copy)]
+pub(super) struct FleetSize {
+    pub(super) endpoints: usize,
+    pub(super) gateways: u32,
+    pub(super) routes: usize,
 }
 
-/// Settings with so many routes and with a quota of many units per gateway.
-pub(super) fn settings(gateways: u32, routes: usize) -> Settings {
+impl FleetSize {
+    /// The smallest fleet.
+    pub(super) const ONE: Self = Self { endpoints: 1, gateways: 1, routes: 1 };
+
+    /// A number of endpoints with one route, and with gateways in proportion to the target.
+    pub(super) fn in_proportion(endpoints: usize) -> Self {
+        let target_endpoints = Dimension::Endpoints.target() as f64;
+        let proportional = endpoints as f64 * f64::from(TARGET_GATEWAYS) / target_endpoints;
+        Self { endpoints, gateways: MIN_GATEWAYS.max(proportional as u32), routes: 1 }
+    }
+}
+
+/// The settings of a gateway in a fleet of this size.
+pub(super) fn settings(size: FleetSize) -> Settings {
     let plan = QuotaPlan {
-        name: "plan".into(),
-        rate: 1000.0,
-        burst: 10_000.0,
+        name: PLAN_NAME.into(),
+        rate: PLAN_RATE,
+        burst: PLAN_BURST,
         max_in_flight: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
@@ -52,22 +84,22 @@
         over_quota_cost: 1.0,
     };
     Settings {
-        gateway_count: gateways,
+        gateway_count: size.gateways,
         zone: "zone-0".into(),
-        tick: 1.0,
-        classes: (0..routes).map(request_class).collect(),
+        tick: TICK,
+        classes: (0..size.routes).map(request_class).collect(),
         plans: vec![plan],
         has_counter: true,
-        counter_timeout: 30.0,
+        counter_timeout: COUNTER_TIMEOUT,
         load_report_source: LoadReportSource::Responses,
-        connect_timeout: 250.0,
-        max_attempts: 6,
-        max_retry_after: 1000.0,
-        slow_start_initial_fraction: 0.35,
-        slow_start_duration: 10_000.0,
-        overload_factor: 2.5,
-        overload_window: 1000.0,
-        cross_zone_cost: 0.01,
+        connect_timeout: CONNECT_TIMEOUT_MS,
+        max_attempts: MAX_ATTEMPTS,
+        max_retry_after: MAX_RETRY_AFTER,
+        slow_start_initial_fraction: SLOW_START_INITIAL_FRACTION,
+        slow_start_duration: SLOW_START_DURATION,
+        overload_factor: OVERLOAD_FACTOR,
+        overload_window: OVERLOAD_WINDOW,
+        cross_zone_cost: CROSS_ZONE_COST,
         ..Settings::default()
     }
 }
@@ -75,7 +107,7 @@
 fn request_class(route: usize) -> RequestClass {
     RequestClass {
         name: route_name(route),
-        latency_objective: 1000.0,
+        latency_objective: LATENCY_OBJECTIVE,
         idempotency: Idempotency::Idempotent,
         dedup_scope: DedupScope::All,
         dedup_window: 0.0,
@@ -106,7 +138,7 @@
 /// The text of a complete list.
 pub(super) fn snapshot(endpoints: usize) -> String {
     let entries: Vec<_> = (0..endpoints).map(|n| list_entry(n, EndpointState::Ready)).collect();
-    list_text(1, ListKind::Snapshot, &entries)
+    list_text(FIRST_VERSION, ListKind::Snapshot, &entries)
 }
 
 /// The text of a list that changes ten endpoints: five drain, and the five that drained before are ready
@@ -118,10 +150,10 @@
         list_entry(n * DELTA_STRIDE, if drains { EndpointState::Draining } else { EndpointState::Ready })
     };
     let entries: Vec<_> = (0..DELTA_SIZE).map(entry).collect();
-    list_text(round as u64 + 2, ListKind::Delta, &entries)
+    list_text(FIRST_VERSION + 1 + round as u64, ListKind::Delta, &entries)
 }
 
-/// What a request took.
+/// The cost of a request.
 pub(super) struct RequestCost {
     /// The time in the policy engine.
     pub(super) time: Duration,
@@ -129,7 +161,7 @@
 }
 
 /// The gateway code that is measured.
-pub(super) struct Subject {
+pub(super) struct MeasuredGateway {
     engine: PolicyEngine,
     registry: Registry,
     now: Millis,
@@ -138,33 +170,33 @@
     totals: HashMap<u64, f64>,
 }
 
-impl Subject {
-    pub(super) fn new(gateways: u32, routes: usize) -> Result<Self, SettingsError> {
+impl MeasuredGateway {
+    /// A gateway that has no endpoint list.
+    pub(super) fn without_list(size: FleetSize) -> Result<Self, SettingsError> {
         Ok(Self {
-            engine: PolicyEngine::new(settings(gateways, routes), SEED)?,
+            engine: PolicyEngine::new(settings(size), SEED)?,
             registry: Registry::new(IDLE_TIMEOUT),
-            now: START,
+            now: EPOCH,
             last_request: 0,
             totals: HashMap::new(),
         })
     }
 
-    /// A subject that knows so many endpoints.
-    pub(super) fn with_endpoints(
-        endpoints: usize, gateways: u32, routes: usize,
-    ) -> Result<Self, SlopesError> {
-        let mut subject = Self::new(gateways, routes)?;
-        subject.apply(&snapshot(endpoints))?;
-        Ok(subject)
+    /// A gateway that knows all endpoints.
+    pub(super) fn with_list(size: FleetSize) -> Result<Self, SlopesError> {
+        let mut gateway = Self::without_list(size)?;
+        gateway.apply(&snapshot(size.endpoints))?;
+        Ok(gateway)
     }
 
-    /// A subject that has had one request of each of so many tenants.
+    /// A gateway that has had one request of each of `tenants` tenants.
     pub(super) fn with_tenants(tenants: usize) -> Result<Self, SlopesError> {
-        let mut subject = Self::with_endpoints(1, 1, 1)?;
-        subject.add_tenants(tenants)?;
-        Ok(subject)
+        let mut gateway = Self::with_list(FleetSize::ONE)?;
+        gateway.add_tenants(tenants)?;
+        Ok(gateway)
     }
 
+    /// Runs one request of each of `tenants` tenants.
     pub(super) fn add_tenants(&mut self, tenants: usize) -> Result<(), SlopesError> {
         for n in 0..tenants {
             self.request(&tenant_name(n), &route_name(0))?;
@@ -179,7 +211,7 @@
         self.now += REQUEST_INTERVAL;
     }
 
-    /// Reads and applies a list, as a real gateway does: how long that took.
+    /// Reads and applies a list, as a real gateway does, and returns how long that took.
     pub(super) fn apply(&mut self, text: &str) -> Result<Duration, EndpointListError> {
         let start = Instant::now();
         let list = EndpointList::parse(text.as_bytes())?;
@@ -188,8 +220,7 @@
         Ok(start.elapsed())
     }
 
-    /// Plays one request from its arrival to its end, whose counter calls and attempt are answered at once.
-    /// It must be forwarded once, as other requests are not to be measured.
+    /// Runs one request to its end, with immediate responses. Fails unless it was forwarded exactly once.
     pub(super) fn request(&mut self, tenant: &Name, class: &Name) -> Result<RequestCost, SlopesError> {
         let mut cost = RequestCost { time: Duration::ZERO, counter_calls: 0 };
         let mut forwarded = 0;
@@ -207,7 +238,7 @@
                     }
                     Action::IncrementCounter { key, amount, .. } => {
                         cost.counter_calls += 1;
-                        events.push(self.increment(key, amount));
+                        events.push(self.counter_reply(key, amount));
                     }
                     _ => {}
                 }
@@ -221,23 +252,23 @@
         Event::RequestArrived(Arrival {
             id: self.last_request,
             tenant: tenant.clone(),
-            plan: "plan".into(),
+            plan: PLAN_NAME.into(),
             class: class.clone(),
             units: 1.0,
             client_retry: false,
-            time_to_deadline: 3000.0,
+            time_to_deadline: TIME_TO_DEADLINE,
             first_gateway: 0,
             gateways_per_tenant: 1,
         })
     }
 
-    fn increment(&mut self, key: u64, amount: f64) -> Event {
+    fn counter_reply(&mut self, key: u64, amount: f64) -> Event {
         let total = self.totals.entry(key).or_default();
         *total += amount;
-        Event::CounterReply { key, result: CounterResult::Total(*total), latency: 1.0 }
+        Event::CounterReply { key, result: CounterResult::Total(*total), latency: COUNTER_LATENCY }
     }
 
-    /// Runs the policy engine's maintenance: how long that took.
+    /// Runs the policy engine's maintenance and returns how long that took.
     pub(super) fn maintain(&mut self) -> Duration {
         let mut actions = Vec::new();
         let start = Instant::now();
@@ -252,7 +283,7 @@
         attempt: 0,
         endpoint,
         outcome: Outcome::Served,
-        latency: 80.0,
+        latency: ATTEMPT_LATENCY,
         actual_units: None,
         request_finished: true,
         load_report: None,
--- a/fleet/src/slopes/memory.rs
+++ b/fleet/src/slopes/memory.rs
@@ -1,7 +1,7 @@
 //! The growth of this process's resident memory.
 
 use super::error::SlopesError;
-use super::subject::{Subject, gateway_count, snapshot};
+use super::measured_gateway::{FleetSize, MeasuredGateway, snapshot};
 use std::io;
 
 /// What takes the memory.
@@ -13,18 +13,18 @@
     Endpoints,
 }
 
-/// By how many bytes this process grows as a gateway in it takes a load. To be called in a process of its
-/// own.
+/// Returns by how many bytes this process grows as a gateway in it is given a load. To be called in a process
+/// of its own.
 ///
 /// # Errors
 /// When the memory cannot be read or the gateway's code rejects what it is given.
 pub fn measure_memory(load: MemoryLoad, size: usize) -> Result<u64, SlopesError> {
     let list = snapshot(if load == MemoryLoad::Endpoints { size } else { 1 });
-    let mut subject = Subject::new(gateway_count(size), 1)?;
+    let mut gateway = MeasuredGateway::without_list(FleetSize::in_proportion(size))?;
     let before = resident_bytes()?;
-    subject.apply(&list)?;
+    gateway.apply(&list)?;
     if load == MemoryLoad::Tenants {
-        subject.add_tenants(size)?;
+        gateway.add_tenants(size)?;
     }
     Ok(resident_bytes()?.saturating_sub(before))
 }
--- a/fleet/src/slopes/mod.rs
+++ b/fleet/src/slopes/mod.rs
@@ -3,20 +3,20 @@
 //! evaluated at the target size.
 //!
 //! - `measure`: which figures are measured, and what is required of them.
-//! - `subject`: the gateway code that is measured.
+//! - `measured_gateway`: the gateway code that is measured, and its size.
 //! - `list_watch`: an endpoint list over a loopback socket.
 //! - `memory`: the growth of a process.
 //! - `fit`: the fitted line; `table`: the output.
 //!
-//! Times are medians by the steady clock. Bytes are the growth of the process's resident memory, in a process
+//! Times are medians by the monotonic clock. Bytes are the growth of the process's resident memory, in a process
 //! of its own for each size, so that memory freed before is not reused.
 
 mod error;
 mod fit;
 mod list_watch;
 mod measure;
+mod measured_gateway;
 mod memory;
-mod subject;
 mod table;
 
 pub use error::SlopesError;
