--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -22,6 +22,8 @@
 
 /// The most bytes of a short read or write.
 const MAX_SHORT_BYTES: u64 = 7;
+/// The increment of SplitMix64.
+const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 const NANOS_PER_SECOND: i128 = 1_000_000_000;
 const NANOS_PER_MILLI: i128 = 1_000_000;
 /// The period of a rule that names none: longer than any test.
@@ -69,21 +71,21 @@
 
     /// The next random number below 1000.
     fn random_per_mille(&self) -> u64 {
-        let mut bits = self.random_state.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
+        let mut bits = self.random_state.fetch_add(GOLDEN_GAMMA, Ordering::Relaxed);
         bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         (bits ^ (bits >> 31)) % 1000
     }
 
     /// The error that this call fails with, if it fails.
-    fn error(&self, call: &str) -> Option<c_int> {
+    fn next_error(&self, call: &str) -> Option<c_int> {
         let now_ms = self.started_at.elapsed().as_millis();
         let mut rules = self.rules.iter().filter(|rule| rule.applies(call, now_ms));
         rules.find(|rule| self.random_per_mille() < rule.per_mille).map(|rule| rule.errno)
     }
 
     /// The length of a read or write that may be short.
-    fn length(&self, requested: size_t) -> size_t {
+    fn limit_length(&self, requested: size_t) -> size_t {
         if self.random_per_mille() < self.short_per_mille {
             requested.min((1 + self.random_per_mille() % MAX_SHORT_BYTES) as size_t)
         } else {
@@ -133,11 +135,15 @@
     FAULTS.get_or_init(|| Faults::parse(&std::env::var("FAULTS").unwrap_or_default()))
 }
 
-/// Whether this call on `fd` fails; sets `errno` if it does.
-fn fails(call: &str, fd: c_int) -> bool {
-    let error = if fd > libc::STDERR_FILENO { faults().error(call) } else { None };
+/// Decides whether this call on `fd` fails, and sets `errno` if it does.
+fn inject_error(call: &str, fd: c_int) -> bool {
+    if fd <= libc::STDERR_FILENO {
+        return false;
+    }
+    let Some(errno) = faults().next_error(call) else { return false };
     // SAFETY: `__errno_location` returns a valid pointer to the `errno` of this thread.
-    error.map(|errno| unsafe { *libc::__errno_location() = errno }).is_some()
+    unsafe { *libc::__errno_location() = errno };
+    true
 }
 
 /// The address of the next definition of a symbol, after the one of this library.
@@ -170,29 +176,29 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn recv(fd: c_int, bytes: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    if fails("recv", fd) {
+    if inject_error("recv", fd) {
         return -1;
     }
-    real!(c"recv" as Receive, fd, bytes, faults().length(length), flags)
+    real!(c"recv" as Receive, fd, bytes, faults().limit_length(length), flags)
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn send(fd: c_int, bytes: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    if fails("send", fd) {
+    if inject_error("send", fd) {
         return -1;
     }
-    real!(c"send" as Transmit, fd, bytes, faults().length(length), flags)
+    real!(c"send" as Transmit, fd, bytes, faults().limit_length(length), flags)
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn writev(fd: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    if fails("send", fd) {
+    if inject_error("send", fd) {
         return -1;
     }
     if fd > libc::STDERR_FILENO && count > 0 {
         // SAFETY: the caller passes `count` valid parts, of which there is at least one.
         let first = unsafe { *parts };
-        let length = faults().length(first.iov_len);
+        let length = faults().limit_length(first.iov_len);
         if length < first.iov_len {
             return real!(c"send" as Transmit, fd, first.iov_base, length, libc::MSG_NOSIGNAL);
         }
@@ -202,8 +208,8 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    // The call has no descriptor yet, so any that is not a standard stream stands for it.
-    if domain == libc::AF_INET && fails("socket", c_int::MAX) {
+    // The call has no descriptor yet, so one that is not a standard stream is passed as a placeholder.
+    if domain == libc::AF_INET && inject_error("socket", c_int::MAX) {
         return -1;
     }
     real!(c"socket" as Socket, domain, kind, protocol)
@@ -211,7 +217,7 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn accept4(fd: c_int, from: *mut sockaddr, length: *mut socklen_t, flags: c_int) -> c_int {
-    if fails("accept", fd) {
+    if inject_error("accept", fd) {
         return -1;
     }
     real!(c"accept4" as Accept, fd, from, length, flags)
@@ -219,7 +225,7 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn connect(fd: c_int, to: *const sockaddr, length: socklen_t) -> c_int {
-    if fails("connect", fd) {
+    if inject_error("connect", fd) {
         return -1;
     }
     real!(c"connect" as Connect, fd, to, length)
@@ -229,25 +235,25 @@
 unsafe extern "C" fn setsockopt(
     fd: c_int, level: c_int, name: c_int, value: *const c_void, length: socklen_t,
 ) -> c_int {
-    if fails("setsockopt", fd) {
+    if inject_error("setsockopt", fd) {
         return -1;
     }
     real!(c"setsockopt" as SetOption, fd, level, name, value, length)
 }
 
 #[unsafe(no_mangle)]
-unsafe extern "C" fn epoll_ctl(epoll: c_int, action: c_int, fd: c_int, event: *mut epoll_event) -> c_int {
-    if action == libc::EPOLL_CTL_ADD && fails("epoll_ctl", fd) {
+unsafe extern "C" fn epoll_ctl(epoll: c_int, operation: c_int, fd: c_int, event: *mut epoll_event) -> c_int {
+    if operation == libc::EPOLL_CTL_ADD && inject_error("epoll_ctl", fd) {
         return -1;
     }
-    real!(c"epoll_ctl" as EpollControl, epoll, action, fd, event)
+    real!(c"epoll_ctl" as EpollControl, epoll, operation, fd, event)
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn epoll_wait(
     epoll: c_int, events: *mut epoll_event, max_events: c_int, timeout: c_int,
 ) -> c_int {
-    if fails("epoll_wait", epoll) {
+    if inject_error("epoll_wait", epoll) {
         return -1;
     }
     real!(c"epoll_wait" as EpollWait, epoll, events, max_events, timeout)
--- a/fleet/src/connection.rs
+++ b/fleet/src/connection.rs
@@ -6,15 +6,22 @@
 use ryefront_policy::Outcome;
 use std::collections::HashMap;
 
-/// From a gateway to an endpoint.
-pub(crate) struct Route {
-    /// The zone of the gateway.
-    pub(crate) from: u32,
-    /// The zone of the endpoint.
-    pub(crate) to: u32,
+/// The way from a gateway to an endpoint.
+pub(crate) struct EndpointRoute {
+    pub(crate) gateway_zone: u32,
+    pub(crate) endpoint_zone: u32,
     pub(crate) endpoint: u32,
 }
 
+/// Where the connection of an attempt comes from.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum ConnectionOrigin {
+    /// It was idle in the pool.
+    Reused,
+    /// It was opened for the attempt.
+    New,
+}
+
 /// The connection of an attempt, and what it costs before the attempt reaches its endpoint.
 pub(crate) struct Connection {
     /// One way to the endpoint.
@@ -23,8 +30,7 @@
     pub(crate) handshake: Micros,
     /// Work of the handshake at the endpoint, µs.
     pub(crate) handshake_work: f64,
-    /// Whether it was opened for the attempt.
-    pub(crate) is_new: bool,
+    pub(crate) origin: ConnectionOrigin,
     pub(crate) crosses_zones: bool,
     pub(crate) crosses_regions: bool,
 }
@@ -37,28 +43,34 @@
 }
 
 impl ConnectionPool {
-    /// Takes the connection that was used last, if one has not reached the idle timeout.
-    fn acquire(&mut self, endpoint: u32, now: Micros, idle_timeout: Micros) -> bool {
-        let Some(idle_since) = self.idle_since.get_mut(&endpoint) else { return false };
+    /// Removes the most recently used idle connection that has not reached the idle timeout; a new one is
+    /// needed where there is none.
+    fn acquire(&mut self, endpoint: u32, now: Micros, idle_timeout: Micros) -> ConnectionOrigin {
+        let Some(idle_since) = self.idle_since.get_mut(&endpoint) else { return ConnectionOrigin::New };
         idle_since.retain(|since| now - since < idle_timeout);
-        idle_since.pop().is_some()
+        if idle_since.pop().is_some() { ConnectionOrigin::Reused } else { ConnectionOrigin::New }
     }
 
-    /// Takes a pooled connection, or opens one.
+    /// Reuses a pooled connection, or opens one.
     pub(crate) fn connect(
-        &mut self, route: &Route, settings: &experiment::Endpoints, network: &mut Network, now: Micros,
+        &mut self, route: &EndpointRoute, settings: &experiment::Endpoints, network: &mut Network,
+        now: Micros,
     ) -> Connection {
         let idle_timeout = time::from_s(settings.idle_timeout_s);
-        let is_new = !self.acquire(route.endpoint, now, idle_timeout);
-        let delay = network.network_delay(route.from, route.to);
+        let origin = self.acquire(route.endpoint, now, idle_timeout);
+        let delay = network.network_delay(route.gateway_zone, route.endpoint_zone);
         let round_trips = u64::from(settings.handshake_round_trips);
+        let (handshake, handshake_work) = match origin {
+            ConnectionOrigin::Reused => (0, 0.0),
+            ConnectionOrigin::New => (delay * 2 * round_trips, settings.handshake_work_ms * 1000.0),
+        };
         Connection {
             delay,
-            handshake: if is_new { delay * 2 * round_trips } else { 0 },
-            handshake_work: if is_new { settings.handshake_work_ms * 1000.0 } else { 0.0 },
-            is_new,
-            crosses_zones: route.from != route.to,
-            crosses_regions: !network.same_region(route.from, route.to),
+            handshake,
+            handshake_work,
+            origin,
+            crosses_zones: route.gateway_zone != route.endpoint_zone,
+            crosses_regions: !network.same_region(route.gateway_zone, route.endpoint_zone),
         }
     }
 
--- a/fleet/src/endpoints.rs
+++ b/fleet/src/endpoints.rs
@@ -18,10 +18,18 @@
     pub(crate) work: f64,
 }
 
+/// A job that an endpoint has started.
+pub(crate) struct StartedJob {
+    pub(crate) job: Job,
+    pub(crate) service_time: Micros,
+}
+
 /// What an endpoint does with a job.
 pub(crate) enum Acceptance {
-    /// It starts at once and takes so long.
-    Started(Micros),
+    /// It starts at once.
+    Started {
+        service_time: Micros,
+    },
     Queued,
     /// The queue is full.
     Rejected,
@@ -229,7 +237,7 @@
         let endpoint = &mut self.all[number as usize];
         if endpoint.busy_cores < self.settings.cores {
             endpoint.busy_cores += 1;
-            return Acceptance::Started(self.service_time(number, job, now));
+            return Acceptance::Started { service_time: self.service_time(number, job, now) };
         }
         if endpoint.queue.len() >= self.settings.queue_capacity as usize {
             return Acceptance::Rejected;
@@ -238,14 +246,13 @@
         Acceptance::Queued
     }
 
-    /// Uses the core of a finished job for the next job whose gateway still waits: that job and its service
-    /// time.
+    /// Starts the next job whose gateway still waits, on the core of a finished job.
     pub(crate) fn start_next(
         &mut self, number: u32, now: Micros, still_wanted: impl Fn(&Job) -> bool,
-    ) -> Option<(Job, Micros)> {
+    ) -> Option<StartedJob> {
         while let Some(job) = self.all[number as usize].queue.pop_front() {
             if still_wanted(&job) {
-                return Some((job, self.service_time(number, job, now)));
+                return Some(StartedJob { job, service_time: self.service_time(number, job, now) });
             }
         }
         self.all[number as usize].busy_cores -= 1;
--- a/fleet/src/event_queue.rs
+++ b/fleet/src/event_queue.rs
@@ -51,10 +51,10 @@
 }
 
 /// An event with its time.
-struct Scheduled {
-    at: Micros,
+pub(crate) struct Scheduled {
+    pub(crate) at: Micros,
     sequence: u64,
-    event: SimEvent,
+    pub(crate) event: SimEvent,
 }
 
 impl PartialEq for Scheduled {
@@ -91,8 +91,8 @@
         self.heap.push(Scheduled { at, sequence: self.last_sequence, event });
     }
 
-    /// Removes the next event and its time.
-    pub(crate) fn pop(&mut self) -> Option<(Micros, SimEvent)> {
-        self.heap.pop().map(|scheduled| (scheduled.at, scheduled.event))
+    /// Removes the next event.
+    pub(crate) fn pop(&mut self) -> Option<Scheduled> {
+        self.heap.pop()
     }
 }
--- a/fleet/src/experiment/error.rs
+++ b/fleet/src/experiment/error.rs
@@ -2,6 +2,7 @@
 
 use super::file::Interval;
 use std::fmt;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
 /// An experiment file that cannot be used.
@@ -74,6 +75,12 @@
     }
 }
 
+impl From<RangeInclusive<f64>> for Range {
+    fn from(range: RangeInclusive<f64>) -> Self {
+        Self { min: *range.start(), max: *range.end() }
+    }
+}
+
 impl fmt::Display for Range {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.min == Self::POSITIVE {
--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -84,6 +84,14 @@
 /// The exit status for a run that could not be completed.
 const EXIT_ERROR: u8 = 2;
 
+/// The result cannot be written.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: cannot be written: {source}", directory.display())]
+struct OutputError {
+    directory: PathBuf,
+    source: io::Error,
+}
+
 fn main() -> ExitCode {
     tracing_subscriber::fmt().with_writer(io::stderr).with_ansi(false).init();
     let result = match Cli::parse().command {
@@ -127,7 +135,7 @@
     experiment.scale.gateways = gateways.or(experiment.scale.gateways);
     let report = ryefront_fleet::run(&experiment, seed.unwrap_or(experiment.seed))?;
     if let Some(out) = out {
-        write(&report, out).map_err(|error| format!("{}: cannot be written: {error}", out.display()))?;
+        write_report(&report, out).map_err(|source| OutputError { directory: out.to_owned(), source })?;
     }
     print!("{}", report.markdown());
     let mut status = ExitCode::SUCCESS;
@@ -138,7 +146,7 @@
     Ok(status)
 }
 
-fn write(report: &Report, out: &Path) -> io::Result<()> {
+fn write_report(report: &Report, out: &Path) -> io::Result<()> {
     std::fs::create_dir_all(out)?;
     std::fs::write(out.join("result.json"), report.json())?;
     std::fs::write(out.join("summary.md"), report.markdown())
--- a/fleet/src/report/invariants.rs
+++ b/fleet/src/report/invariants.rs
@@ -21,32 +21,48 @@
 }
 
 impl Invariant {
-    fn new(name: &'static str, value: f64, limit: f64) -> Self {
+    fn at_most(limit: f64, name: &'static str, value: f64) -> Self {
         Self { name, held: value <= limit, value, limit }
     }
+
+    fn must_be_zero(name: &'static str, count: u64) -> Self {
+        Self::at_most(0.0, name, count as f64)
+    }
+}
+
+/// The highest values relative to their limits.
+#[derive(Clone, Copy)]
+pub(crate) struct WorstRatios {
+    /// The usage of a tenant to the most that its quota allows.
+    pub(crate) quota_usage: f64,
+    /// The attempts sent to an endpoint in slow start to its budget.
+    pub(crate) slow_start: f64,
 }
 
 /// All invariants of a simulation.
-pub(super) fn invariants(
-    metrics: &Metrics, worst_quota_usage: f64, worst_slow_start_ratio: f64,
-) -> Vec<Invariant> {
-    let none = |name, count: u64| Invariant::new(name, count as f64, 0.0);
+pub(super) fn invariants(metrics: &Metrics, worst_ratios: WorstRatios) -> Vec<Invariant> {
     vec![
-        none("every client attempt and every forwarded attempt is accounted for", metrics.unaccounted),
-        none("no client attempt has two final answers", metrics.duplicate_answers),
-        none("no action is invalid", metrics.invalid_actions),
-        none("every client attempt is answered by its deadline", metrics.unanswered),
-        none("no client attempt is open at the end", metrics.open_at_end),
-        none("nothing is sent to a draining endpoint after its grace", metrics.sent_after_drain),
-        Invariant::new(
-            "no tenant with a unit for each gateway exceeds its quota",
-            round(worst_quota_usage),
+        Invariant::must_be_zero(
+            "every client attempt and every forwarded attempt is accounted for",
+            metrics.unaccounted,
+        ),
+        Invariant::must_be_zero("no client attempt has two final answers", metrics.duplicate_answers),
+        Invariant::must_be_zero("no action is invalid", metrics.invalid_actions),
+        Invariant::must_be_zero("every client attempt is answered by its deadline", metrics.unanswered),
+        Invariant::must_be_zero("no client attempt is open at the end", metrics.open_at_end),
+        Invariant::must_be_zero(
+            "nothing is sent to a draining endpoint after its grace",
+            metrics.sent_after_drain,
+        ),
+        Invariant::at_most(
             1.0,
+            "no tenant with a unit for each gateway exceeds its quota",
+            round(worst_ratios.quota_usage),
         ),
-        Invariant::new(
-            "no endpoint in slow start is sent more than its budget",
-            round(worst_slow_start_ratio),
+        Invariant::at_most(
             1.0,
+            "no endpoint in slow start is sent more than its budget",
+            round(worst_ratios.slow_start),
         ),
     ]
 }
@@ -61,10 +77,10 @@
         // While the counter is unavailable, each gateway also admits from its fallback allowance.
         let counter_failed = counter.timed_out + counter.rejected > 0;
         let fallback = if counter_failed { allowed } else { 0.0 };
-        // Each quota window grants a burst, and a run may begin and end inside of one; each gateway may admit
-        // one request while the give-back of another is on its way.
-        let in_transit = quota.burst + f64::from(tenant.gateway_count * experiment.load.units.high);
-        tenant.used_units / (allowed + in_transit + fallback)
+        // Each quota window grants a burst, and a run may begin and end within a window; each gateway may admit
+        // one request while the refund of another is in transit.
+        let boundary_allowance = quota.burst + f64::from(tenant.gateway_count * experiment.load.units.high);
+        tenant.used_units / (allowed + boundary_allowance + fallback)
     };
     // A quota of less than a unit per gateway holds on average only.
     let is_bounded = |tenant: &&Tenant| tenants.quota(tenant).burst >= f64::from(tenant.gateway_count);
--- a/fleet/src/report/metrics.rs
+++ b/fleet/src/report/metrics.rs
@@ -1,7 +1,7 @@
 //! What is counted during a simulation. Times are in µs.
 
 use crate::attempts::OpenAttempts;
-use crate::connection::Connection;
+use crate::connection::{Connection, ConnectionOrigin};
 use crate::tenants::QuotaCheck;
 use crate::time::Micros;
 use hdrhistogram::Histogram;
@@ -22,11 +22,30 @@
     WaitExpired,
 }
 
-const REJECTION_REASONS: usize = 5;
+impl RejectionReason {
+    /// The number of reasons.
+    const COUNT: usize = Self::WaitExpired as usize + 1;
+}
+
 /// The longest time that the histograms distinguish: ten minutes, as long as any deadline.
 const MAX_TIME: Micros = 600_000_000;
 const HISTOGRAM_DIGITS: u8 = 3;
 
+/// Why a client attempt failed.
+#[derive(Clone, Copy)]
+pub(crate) enum FailureCause {
+    /// There was no response by the deadline.
+    TimedOut,
+    Other,
+}
+
+/// A client attempt that was rejected.
+pub(crate) struct RejectedAttempt {
+    pub(crate) reason: RejectionReason,
+    /// Whether over half of the tenant's burst was left.
+    pub(crate) over_half_burst_left: bool,
+}
+
 /// A client attempt that was served.
 pub(crate) struct ServedAttempt {
     pub(crate) latency: Micros,
@@ -46,7 +65,7 @@
     pub(super) served: u64,
     pub(super) late: u64,
     pub(super) over_quota: u64,
-    rejected: [u64; REJECTION_REASONS],
+    rejected: [u64; RejectionReason::COUNT],
     /// Rejected while over half of the tenant's burst was left.
     pub(super) rejected_with_quota_left: u64,
     pub(super) timed_out: u64,
@@ -85,7 +104,7 @@
             served: 0,
             late: 0,
             over_quota: 0,
-            rejected: [0; REJECTION_REASONS],
+            rejected: [0; RejectionReason::COUNT],
             rejected_with_quota_left: 0,
             timed_out: 0,
             failed: 0,
@@ -114,11 +133,10 @@
         }
     }
 
-    pub(crate) fn record_failed(&mut self, timed_out: bool) {
-        if timed_out {
-            self.timed_out += 1;
-        } else {
-            self.failed += 1;
+    pub(crate) fn record_failed(&mut self, cause: FailureCause) {
+        match cause {
+            FailureCause::TimedOut => self.timed_out += 1,
+            FailureCause::Other => self.failed += 1,
         }
     }
 
@@ -151,15 +169,15 @@
         self.added.saturating_record(attempt.added);
     }
 
-    pub(crate) fn record_rejected(&mut self, reason: RejectionReason, quota_left: bool) {
-        self.rejected[reason as usize] += 1;
-        self.rejected_with_quota_left += u64::from(quota_left);
+    pub(crate) fn record_rejected(&mut self, attempt: &RejectedAttempt) {
+        self.rejected[attempt.reason as usize] += 1;
+        self.rejected_with_quota_left += u64::from(attempt.over_half_burst_left);
     }
 
     /// Records that a gateway forwarded an attempt over a connection.
     pub(crate) fn record_forwarded(&mut self, connection: &Connection) {
         self.forwarded += 1;
-        self.handshakes += u64::from(connection.is_new);
+        self.handshakes += u64::from(connection.origin == ConnectionOrigin::New);
         self.cross_zone += u64::from(connection.crosses_zones);
         self.cross_region += u64::from(connection.crosses_regions);
     }
--- a/fleet/src/report/mod.rs
+++ b/fleet/src/report/mod.rs
@@ -8,8 +8,8 @@
 mod rounding;
 
 pub use invariants::Invariant;
-pub(crate) use invariants::worst_quota_usage;
-pub(crate) use metrics::{Metrics, RejectionReason, ServedAttempt};
+pub(crate) use invariants::{WorstRatios, worst_quota_usage};
+pub(crate) use metrics::{FailureCause, Metrics, RejectedAttempt, RejectionReason, ServedAttempt};
 pub(crate) use result::ReportInput;
 pub use result::{
     CounterCalls, EndpointLists, Failures, Percentiles, Rejections, Report, SimulatedScale, SlowStartLoad,
--- a/fleet/src/report/result.rs
+++ b/fleet/src/report/result.rs
@@ -1,6 +1,6 @@
 //! The figures of a simulation, as `result.json` holds them.
 
-use super::invariants::{Invariant, invariants};
+use super::invariants::{Invariant, WorstRatios, invariants};
 use super::metrics::{Metrics, RejectionReason};
 use super::rounding::{fraction, round};
 use crate::counter::CounterStatistics;
@@ -218,7 +218,7 @@
     pub(crate) experiment: &'a Experiment,
     pub(crate) seed: u64,
     pub(crate) quota_demand: f64,
-    pub(crate) worst_quota_usage: f64,
+    pub(crate) worst_ratios: WorstRatios,
     pub(crate) tenant_count: usize,
     pub(crate) gateways: &'a [GatewayProcess],
     pub(crate) endpoints: &'a Endpoints,
@@ -262,7 +262,7 @@
             handshakes_per_attempt: fraction(metrics.handshakes, metrics.forwarded),
             cross_zone_fraction: fraction(metrics.cross_zone, metrics.forwarded),
             cross_region_fraction: fraction(metrics.cross_region, metrics.forwarded),
-            invariants: invariants(metrics, input.worst_quota_usage, endpoints.slow_start().worst_ratio),
+            invariants: invariants(metrics, input.worst_ratios),
         }
     }
 
--- a/fleet/src/requests.rs
+++ b/fleet/src/requests.rs
@@ -5,7 +5,7 @@
 use crate::event_queue::{EventQueue, SimEvent};
 use crate::experiment::Experiment;
 use crate::random::{Random, Stream};
-use crate::report::{Metrics, RejectionReason, ServedAttempt};
+use crate::report::{FailureCause, Metrics, RejectedAttempt, RejectionReason, ServedAttempt};
 use crate::tenants::{GeneratedTenants, Tenants};
 use crate::time::{self, Micros};
 use ryefront_policy::{Arrival, Millis, Name};
@@ -129,7 +129,10 @@
                 metrics.record_served(&ServedAttempt { latency, added, late, quota_check });
             }
             Completion::Rejected { reason, .. } => self.record_rejected(attempt, reason, now, metrics),
-            Completion::Failed => metrics.record_failed(attempt.deadline <= now),
+            Completion::Failed => {
+                let timed_out = attempt.deadline <= now;
+                metrics.record_failed(if timed_out { FailureCause::TimedOut } else { FailureCause::Other });
+            }
             Completion::ClientDisconnected => metrics.record_client_disconnected(),
         }
     }
@@ -147,7 +150,8 @@
         } else {
             event_reason
         };
-        metrics.record_rejected(reason, remaining > quota.burst / 2.0);
+        let over_half_burst_left = remaining > quota.burst / 2.0;
+        metrics.record_rejected(&RejectedAttempt { reason, over_half_burst_left });
     }
 
     fn schedule_retry(
--- a/fleet/src/simulation.rs
+++ b/fleet/src/simulation.rs
@@ -2,18 +2,18 @@
 
 use crate::attempts::AttemptEnding;
 use crate::clients::ClientRequest;
-use crate::connection::Route;
+use crate::connection::EndpointRoute;
 use crate::counter::{Counter, CounterCall};
 use crate::discovery::{Discovery, ListEntry, endpoint_number};
 use crate::endpoint_list::EndpointListError;
-use crate::endpoints::{Acceptance, Endpoints, Job};
-use crate::event_queue::{EventQueue, Replacement, SimEvent};
+use crate::endpoints::{Acceptance, Endpoints, Job, StartedJob};
+use crate::event_queue::{EventQueue, Replacement, Scheduled, SimEvent};
 use crate::experiment::Experiment;
 use crate::gateway_process::GatewayProcess;
 use crate::lifecycle::{FleetState, Rollout};
 use crate::network::Network;
 use crate::random::{Random, Stream};
-use crate::report::{Metrics, RejectionReason, Report, ReportInput, worst_quota_usage};
+use crate::report::{Metrics, RejectionReason, Report, ReportInput, WorstRatios, worst_quota_usage};
 use crate::requests::{Completion, Requests};
 use crate::setup;
 use crate::time::{self, Micros};
@@ -114,15 +114,16 @@
         let deadlines = self.experiment.classes.iter().map(|class| class.deadline_ms);
         let latest_end = end + time::from_ms(deadlines.fold(0.0, f64::max)) + MAX_DRAIN_TIME;
         let mut second = 0;
-        while let Some((at, event)) = self.events.pop() {
-            if at > latest_end || at > end && self.requests.attempts.count() == 0 {
+        while let Some(Scheduled { at, event, .. }) = self.events.pop() {
+            if at > latest_end || (at > end && self.requests.attempts.count() == 0) {
                 break;
             }
             self.now = at;
             if at / SECOND > second {
                 second = at / SECOND;
                 self.metrics.audit(&self.requests.attempts.counted());
-                let (attempts, open) = (self.requests.attempts.last_id(), self.requests.attempts.count());
+                let attempts = self.requests.attempts.last_id();
+                let open = self.requests.attempts.count();
                 tracing::info!(second, attempts, open, "simulated");
             }
             match event {
@@ -221,9 +222,9 @@
         if rollout.is_some_and(|rollout| rollout.is_past_drain_grace(endpoint, process, self.now)) {
             self.metrics.record_sent_after_drain();
         }
-        let route = Route {
-            from: self.gateways[gateway as usize].zone(),
-            to: self.endpoints.get(endpoint).zone(),
+        let route = EndpointRoute {
+            gateway_zone: self.gateways[gateway as usize].zone(),
+            endpoint_zone: self.endpoints.get(endpoint).zone(),
             endpoint,
         };
         let pool = &mut self.gateways[gateway as usize].connections;
@@ -311,7 +312,7 @@
             attempt.quota_check = Some(self.requests.tenants.charge(request.tenant, request.units, self.now));
         }
         match self.endpoints.accept(endpoint, job, self.now) {
-            Acceptance::Started(service_time) => {
+            Acceptance::Started { service_time } => {
                 self.events.schedule(self.now + service_time, SimEvent::JobFinished { endpoint, job });
             }
             Acceptance::Queued => {}
@@ -324,7 +325,7 @@
         self.respond(endpoint, job, if error { Outcome::Error } else { Outcome::Served });
         let attempts = &self.requests.attempts;
         let next = self.endpoints.start_next(endpoint, self.now, |job| attempts.awaits(job));
-        if let Some((job, service_time)) = next {
+        if let Some(StartedJob { job, service_time }) = next {
             self.events.schedule(self.now + service_time, SimEvent::JobFinished { endpoint, job });
         }
     }
@@ -333,7 +334,7 @@
         let endpoint = self.endpoints.get(endpoint);
         let queue_length = endpoint.queue_length() as f64;
         let delay = self.network.network_delay(endpoint.zone(), self.gateways[job.gateway as usize].zone());
-        let (id, attempt) = (job.id, job.attempt);
+        let Job { id, attempt, .. } = job;
         let event = SimEvent::AttemptEnded { id, attempt, outcome, queue_length };
         self.events.schedule(self.now + delay, event);
     }
@@ -380,11 +381,15 @@
 
     fn report(self, seed: u64) -> Report {
         let counter = self.counter.statistics();
+        let worst_ratios = WorstRatios {
+            quota_usage: worst_quota_usage(self.experiment, &self.requests.tenants, counter),
+            slow_start: self.endpoints.slow_start().worst_ratio,
+        };
         Report::new(&ReportInput {
             experiment: self.experiment,
             seed,
             quota_demand: self.requests.quota_demand(),
-            worst_quota_usage: worst_quota_usage(self.experiment, &self.requests.tenants, counter),
+            worst_ratios,
             tenant_count: self.requests.tenants.iter().len(),
             gateways: &self.gateways,
             endpoints: &self.endpoints,
