--- a/sim-adapter/src/decode.rs
+++ b/sim-adapter/src/decode.rs
@@ -8,6 +8,9 @@
 };
 use ryefront_settings::ReadError;
 
+/// The units of a request that states none.
+const DEFAULT_UNITS: f64 = 1.0;
+
 /// A line that cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
@@ -37,7 +40,7 @@
 pub(crate) enum Message {
     /// The batch is complete.
     BatchEnd,
-    /// An endpoint table begins; so many rows follow.
+    /// An endpoint table begins, of which `row_count` rows follow.
     Table { number: u64, row_count: usize },
     /// A new instance starts.
     InstanceStarted { instance: u64, seed: u64, settings: Box<Settings> },
@@ -49,7 +52,7 @@
     Event { instance: u64, event: Event },
 }
 
-/// What the endpoints of a list mean.
+/// Whether a list replaces or changes the endpoints.
 #[derive(Clone, Copy)]
 pub(crate) enum ListKind {
     Snapshot,
@@ -73,11 +76,13 @@
     }
     let name = fields.name(field::ENDPOINT)?;
     let zone = Name::from(fields.text(field::ZONE)?);
+    // Required by the protocol, not used by the policy.
     fields.text(field::MACHINE_KIND)?;
     let cell = fields.integer(field::CELL)?;
     let state = endpoint_state(&mut fields)?;
+    // Required by the protocol, not used by the policy.
     fields.optional_number(field::WEIGHT)?;
-    let started_at = fields.optional_number(field::STARTED_AT)?.filter(|at| *at > 0.0);
+    let started_at = positive(fields.optional_number(field::STARTED_AT)?);
     Ok(EndpointEntry { name, zone, cell, state, started_at })
 }
 
@@ -122,6 +127,7 @@
 
 fn endpoint_list(instance: u64, fields: &mut Fields<'_>) -> Result<Message, DecodeError> {
     let kind_text = fields.text(field::LIST_KIND)?;
+    // Required by the protocol, not used by the policy.
     fields.text(field::LIST_VERSION)?;
     let table = fields.optional_integer(field::TABLE)?;
     let kind = match kind_text {
@@ -136,13 +142,14 @@
 fn request_arrived(fields: &mut Fields<'_>) -> Result<Event, InvalidField> {
     let id = fields.integer(field::REQUEST_ID)?;
     let tenant = fields.name(field::TENANT)?;
+    // Required by the protocol, not used by the policy.
     fields.flag(field::IS_WRITE)?;
     let time_to_deadline = fields.millis(field::TIME_TO_DEADLINE)?;
     let class = fields.name(field::CLASS)?;
     let client_retry = fields.flag(field::CLIENT_RETRY)?;
     let first_gateway = fields.optional_integer(field::FIRST_GATEWAY)?.unwrap_or(0);
     let gateways_per_tenant = fields.optional_integer(field::GATEWAYS_PER_TENANT)?.unwrap_or(0);
-    let units = fields.optional_number(field::UNITS)?.unwrap_or(1.0);
+    let units = fields.optional_number(field::UNITS)?.unwrap_or(DEFAULT_UNITS);
     let plan = fields.name(field::PLAN)?;
     Ok(Event::RequestArrived(Arrival {
         id,
@@ -162,9 +169,10 @@
     let latency = fields.millis(field::LATENCY)?;
     let endpoint = fields.name(field::ENDPOINT)?;
     let outcome = attempt_outcome(fields)?;
+    // Required by the protocol, not used by the policy.
     fields.optional_number(field::METERED_USAGE)?;
     let attempt = fields.integer(field::ATTEMPT)?;
-    let actual_units = fields.optional_number(field::ACTUAL_UNITS)?.filter(|units| *units > 0.0);
+    let actual_units = positive(fields.optional_number(field::ACTUAL_UNITS)?);
     let request_finished = fields.flag(field::REQUEST_FINISHED)?;
     let load_report = load_report(fields)?;
     Ok(Event::AttemptEnded(AttemptEnd {
@@ -194,11 +202,11 @@
 }
 
 fn counter_reply(fields: &mut Fields<'_>) -> Result<Event, InvalidField> {
-    let outcome = fields.text(field::OUTCOME)?;
+    let outcome_text = fields.text(field::OUTCOME)?;
     let key = fields.integer(field::COUNTER_KEY)?;
     let latency = fields.millis(field::LATENCY)?;
     let total = fields.optional_number(field::COUNTER_TOTAL)?;
-    let result = match outcome {
+    let result = match outcome_text {
         outcome::SERVED => CounterResult::Total(total.ok_or(InvalidField::missing(field::COUNTER_TOTAL))?),
         outcome::REJECTED | outcome::CONNECT_FAILED => CounterResult::NotAdded,
         outcome::TIMED_OUT => CounterResult::Unknown,
@@ -207,12 +215,17 @@
     Ok(Event::CounterReply { key, result, latency })
 }
 
+/// The value if it is above 0, which on the wire means unknown.
+fn positive(value: Option<f64>) -> Option<f64> {
+    value.filter(|value| *value > 0.0)
+}
+
 fn endpoint_state(fields: &mut Fields<'_>) -> Result<EndpointState, InvalidField> {
     match fields.text(field::STATE)? {
         state::READY => Ok(EndpointState::Ready),
         state::DRAINING => Ok(EndpointState::Draining),
         state::REMOVED => Ok(EndpointState::Removed),
-        unknown => Err(InvalidField::value(field::STATE, unknown, "IN, LAME or OUT")),
+        unknown => Err(InvalidField::value(field::STATE, unknown, state::EXPECTED)),
     }
 }
 
--- a/sim-adapter/src/encode.rs
+++ b/sim-adapter/src/encode.rs
@@ -3,18 +3,19 @@
 use crate::wire::{ALL_PEERS, TRUE, action};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
-use ryefront_policy::Action;
-use std::fmt::{self, Write as _};
+use ryefront_policy::{Action, Millis};
+use std::fmt::Write as _;
+
+/// The timeout of an attempt that has none, on the wire.
+const NO_TIMEOUT: Millis = 0.0;
 
 /// Appends the line of an action of one instance.
-///
-/// # Errors
-/// None: a `String` accepts all that is written to it.
-pub(crate) fn write_action(reply: &mut String, instance: u64, action: &Action) -> fmt::Result {
-    match action {
+pub(crate) fn write_action(reply: &mut String, instance: u64, action: &Action) {
+    // Writing to a String cannot fail.
+    let _ = match action {
         // The simulator writes an attempt in one step, so that it has no write timeout.
         Action::ForwardAttempt { id, endpoint, timeout, write_timeout: _ } => {
-            let timeout = timeout.unwrap_or(0.0);
+            let timeout = timeout.unwrap_or(NO_TIMEOUT);
             writeln!(reply, "{}\t{instance}\t{id}\t{endpoint}\t{timeout:.3}", action::FORWARD_ATTEMPT)
         }
         Action::Reject { id, retry_after } => {
@@ -40,5 +41,5 @@
         Action::Log(text) => {
             writeln!(reply, "{}\t{instance}\t{}", action::LOG, text.replace(['\n', '\t'], " "))
         }
-    }
+    };
 }
--- a/sim-adapter/src/host.rs
+++ b/sim-adapter/src/host.rs
@@ -44,9 +44,6 @@
     /// It names an endpoint table that was not sent.
     #[error("no such list of endpoints")]
     UnknownTable,
-    /// An action cannot be written.
-    #[error(transparent)]
-    Encode(#[from] std::fmt::Error),
 }
 
 /// Whether more lines of a batch follow.
@@ -67,21 +64,21 @@
 struct UnfinishedTable {
     number: u64,
     /// At least 1.
-    rows_to_come: usize,
+    remaining_rows: usize,
 }
 
 impl Tables {
-    /// Replaces a table; so many rows follow.
+    /// Replaces a table, of which `row_count` rows follow.
     fn begin(&mut self, number: u64, row_count: usize) {
         self.entries.insert(number, Vec::new());
-        self.unfinished = (row_count > 0).then_some(UnfinishedTable { number, rows_to_come: row_count });
+        self.unfinished = (row_count > 0).then_some(UnfinishedTable { number, remaining_rows: row_count });
     }
 
     fn add_row(&mut self, entry: EndpointEntry) {
         let Some(table) = &mut self.unfinished else { return };
         self.entries.entry(table.number).or_default().push(entry);
-        table.rows_to_come -= 1;
-        if table.rows_to_come == 0 {
+        table.remaining_rows -= 1;
+        if table.remaining_rows == 0 {
             self.unfinished = None;
         }
     }
@@ -171,7 +168,7 @@
         let engine = self.instances.get_mut(&instance).ok_or(LineError::UnknownInstance(instance))?;
         engine.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            write_action(&mut self.reply, instance, &action)?;
+            write_action(&mut self.reply, instance, &action);
         }
         Ok(())
     }
--- a/sim-adapter/src/wire.rs
+++ b/sim-adapter/src/wire.rs
@@ -124,6 +124,8 @@
     pub(crate) const READY: &str = "IN";
     pub(crate) const DRAINING: &str = "LAME";
     pub(crate) const REMOVED: &str = "OUT";
+    /// All values, as errors name them.
+    pub(crate) const EXPECTED: &str = "IN, LAME or OUT";
 }
 
 /// Separates the pairs of a load report.
--- a/sim-adapter/tests/common/mod.rs
+++ b/sim-adapter/tests/common/mod.rs
@@ -10,12 +10,12 @@
 
 /// A table of one endpoint.
 #[allow(dead_code, reason = "not every test file needs it")]
-pub const TABLE: [&str; 2] = ["TABLE\t0\t1", "ENTRY\tendpoint.x\tz\tk\t0\tIN\t1\t-"];
+pub(crate) const TABLE: [&str; 2] = ["TABLE\t0\t1", "ENTRY\tendpoint.x\tz\tk\t0\tIN\t1\t-"];
 /// That table as the endpoint list of instance 3.
-pub const ENDPOINT_LIST: &str = "ANNOUNCE\t3\tremembered\t1\t0";
+pub(crate) const ENDPOINT_LIST: &str = "ANNOUNCE\t3\tremembered\t1\t0";
 
 /// The lines that a fresh host replies.
-pub fn replies(lines: &[&str]) -> Result<Vec<String>, HostError> {
+pub(crate) fn replies(lines: &[&str]) -> Result<Vec<String>, HostError> {
     let input = lines.join("\n") + "\n";
     let mut output = Vec::new();
     Host::default().run(&mut input.as_bytes(), &mut output)?;
@@ -23,6 +23,6 @@
 }
 
 /// The line that starts an instance.
-pub fn start(instance: u32) -> String {
+pub(crate) fn start(instance: u32) -> String {
     format!("START\t{instance}\t7\t{}", SETTINGS.replace('\n', ""))
 }
