--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -5,13 +5,14 @@
 //! - `seed=N`: the seed of all random decisions.
 //! - `CALL=ERRNO/PER_MILLE`, optionally followed by `@FROM-TO`: calls fail with that error at this rate in a
 //!   thousand, if given only from `FROM` to `TO` ms after the first intercepted call. Calls: `recv`, `send`
-//!   (and `writev`), `accept` (that is, `accept4`), `socket` (IPv4 only), `connect`, `setsockopt`, `epoll_ctl`
-//!   (additions only), `epoll_wait`. Errors: those of `errno_of`.
-//! - `short=PER_MILLE`: reads and writes are limited to a few bytes at this rate in a thousand: `recv`, `send`,
-//!   and the first buffer of `writev`.
+//!   (and `writev`), `accept` (that is, `accept4`), `socket` (IPv4 only), `connect`, `setsockopt`,
+//!   `epoll_ctl` (additions only), `epoll_wait`. Errors: those of `errno_of`.
+//! - `short=PER_MILLE`: reads and writes are limited to a few bytes at this rate in a thousand: `recv`,
+//!   `send`, and the first buffer of `writev`.
 //! - `realtime=MS`: the wall clock is shifted by this much; the monotonic clock is not.
 //!
-//! A failed call has no effect. Calls on standard streams never fail. Rules that cannot be parsed are a panic.
+//! A failed call has no effect. Calls on standard streams never fail. A rule that cannot be parsed causes a
+//! panic.
 
 use libc::{c_int, c_void, clockid_t, epoll_event, iovec, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::ffi::CStr;
