--- a/fleet/src/attempts.rs
+++ b/fleet/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Client attempts without a final answer, and the attempt in flight of each.
+//! Client attempts without a completion, and the attempt in flight of each.
 
 use crate::clients::ClientRequest;
 use crate::endpoints::Job;
@@ -20,25 +20,25 @@
 
 impl InFlightAttempt {
     /// The event for its end.
-    pub(crate) fn end(self, end: AttemptEnding, now: Micros) -> Event {
-        let load_report = end
+    pub(crate) fn end(self, result: AttemptResult, now: Micros) -> Event {
+        let load_report = result
             .queue_length
             .map(|queue_length| LoadReport { queue_length: Some(queue_length), ..LoadReport::default() });
         Event::AttemptEnded(AttemptEnd {
-            id: end.id,
+            id: result.id,
             attempt: self.number,
             endpoint: self.endpoint_name,
-            outcome: end.outcome,
+            outcome: result.outcome,
             latency: time::to_ms(now - self.sent_at),
             actual_units: None,
-            request_finished: end.request_finished,
+            request_finished: result.request_finished,
             load_report,
         })
     }
 }
 
 /// How an attempt ended.
-pub(crate) struct AttemptEnding {
+pub(crate) struct AttemptResult {
     /// The request.
     pub(crate) id: u64,
     pub(crate) outcome: Outcome,
@@ -47,7 +47,7 @@
     pub(crate) queue_length: Option<f64>,
 }
 
-/// A client's attempt that its gateway has not answered.
+/// A client's attempt that its gateway has not completed.
 pub(crate) struct ClientAttempt {
     pub(crate) request: ClientRequest,
     pub(crate) arrived_at: Micros,
@@ -75,14 +75,14 @@
     }
 }
 
-/// All client attempts without a final answer, by the id that their gateway knows them by.
+/// All client attempts without a completion, by the id that their gateway knows them by.
 #[derive(Default)]
 pub(crate) struct ClientAttempts {
     open: HashMap<u64, ClientAttempt>,
     last_id: u64,
 }
 
-/// Counted client attempts without a final answer.
+/// Client attempts without a completion, of those that count in the metrics.
 pub(crate) struct OpenAttempts {
     pub(crate) total: u64,
     /// Those with an attempt in flight.
@@ -134,8 +134,8 @@
         self.is_in_flight(job.id, job.attempt)
     }
 
-    /// Counts those that count in the metrics.
-    pub(crate) fn counted(&self) -> OpenAttempts {
+    /// The number of open client attempts, of those that count in the metrics.
+    pub(crate) fn open_counted(&self) -> OpenAttempts {
         let counted = self.open.values().filter(|attempt| attempt.request.counted);
         let in_flight = counted.clone().filter(|attempt| attempt.in_flight.is_some()).count() as u64;
         OpenAttempts { total: counted.count() as u64, in_flight }
--- a/fleet/src/clients.rs
+++ b/fleet/src/clients.rs
@@ -31,7 +31,7 @@
 
 /// The source of new requests.
 pub(crate) struct Clients {
-    gateways: u32,
+    gateway_count: u32,
     /// Cumulative weights by tenant.
     tenant_weights: Vec<f64>,
     /// Cumulative weights by class.
@@ -41,12 +41,13 @@
 }
 
 impl Clients {
-    /// Clients that send so many requests per second, by the weights of their tenants.
+    /// Clients that send `requests_per_s` first attempts on average, by the weights of their tenants.
     pub(crate) fn new(
-        experiment: &Experiment, requests_per_s: f64, gateways: u32, tenant_weights: Vec<f64>, random: Random,
+        experiment: &Experiment, requests_per_s: f64, gateway_count: u32, tenant_weights: Vec<f64>,
+        random: Random,
     ) -> Self {
         Self {
-            gateways,
+            gateway_count,
             tenant_weights,
             class_weights: cumulative(experiment.classes.iter().map(|class| class.request_weight)),
             requests_per_s,
@@ -65,7 +66,7 @@
         let units =
             load.units.low + self.random.below((load.units.high - load.units.low + 1) as usize) as u32;
         let work = self.random.exponential() * experiment.classes[class].mean_work_ms * 1000.0;
-        let gateway = random_gateway(tenants.get(tenant), self.gateways, &mut self.random);
+        let gateway = random_gateway(tenants.get(tenant), self.gateway_count, &mut self.random);
         let request =
             ClientRequest { tenant, class, units: units.into(), work, gateway, retries: 0, counted: false };
         ScheduledRequest { at, request }
@@ -101,20 +102,22 @@
     pub(crate) fn disconnect_after(&mut self, time_to_deadline: Micros) -> Option<Micros> {
         let probability = self.load.disconnect_probability;
         let draw = self.random.unit();
+        // Given draw < probability, draw / probability is uniform in [0, 1).
         (draw < probability).then(|| (time_to_deadline as f64 * (draw / probability)) as Micros)
     }
 
     /// Draws whether a client retries a rejected request, after which time, and through which gateway.
     pub(crate) fn retry(
-        &mut self, mut request: ClientRequest, retry_after: Millis, tenant: &Tenant, gateways: u32,
+        &mut self, mut request: ClientRequest, retry_after: Millis, tenant: &Tenant, gateway_count: u32,
     ) -> Option<ScheduledRetry> {
+        // Both are drawn in any case, so that the stream does not depend on the outcome.
         let draw = self.random.unit();
         let backoff_ms = self.random.within(self.load.backoff_ms);
         if request.retries >= self.load.max_retries || draw >= self.load.retry_probability {
             return None;
         }
         request.retries += 1;
-        request.gateway = random_gateway(tenant, gateways, &mut self.random);
+        request.gateway = random_gateway(tenant, gateway_count, &mut self.random);
         let delay_ms = backoff_ms.max(retry_after.min(self.load.max_retry_after_ms));
         Some(ScheduledRetry { delay: time::from_ms_ceil(delay_ms), request })
     }
@@ -127,7 +130,7 @@
 }
 
 /// Draws one of the gateways that serve a tenant.
-fn random_gateway(tenant: &Tenant, gateways: u32, random: &mut Random) -> u32 {
+fn random_gateway(tenant: &Tenant, gateway_count: u32, random: &mut Random) -> u32 {
     let offset = random.below(tenant.gateway_count as usize) as u32;
-    (tenant.first_gateway + offset) % gateways
+    (tenant.first_gateway + offset) % gateway_count
 }
--- a/fleet/src/counter.rs
+++ b/fleet/src/counter.rs
@@ -7,10 +7,11 @@
 use ryefront_policy::{CounterResult, Millis};
 use std::collections::HashMap;
 
-/// Expired keys are removed after so many calls.
+/// Expired keys are removed after this number of calls.
 const CALLS_BETWEEN_CLEANUPS: u64 = 100_000;
-/// A gateway abandons a call after so many counter timeouts of its settings.
-const CLIENT_TIMEOUT_FACTOR: f64 = 4.0;
+/// The gateway's call timeout as a multiple of the counter timeout; as `COUNTER_TIMEOUT_MULTIPLE` in
+/// gateway/src/engine.rs.
+const COUNTER_TIMEOUT_MULTIPLE: f64 = 4.0;
 /// The longest service time, as a multiple of the mean.
 const MAX_SERVICE_TIME_FACTOR: f64 = 8.0;
 
@@ -64,7 +65,7 @@
             next_start_at: vec![0; settings.partitions as usize],
             service_time: (1e6 / partition_calls_per_s).round() as Micros,
             max_wait: time::from_ms(settings.max_wait_ms),
-            client_timeout: (settings.timeout_ms * CLIENT_TIMEOUT_FACTOR * 1000.0) as Micros,
+            client_timeout: (settings.timeout_ms * COUNTER_TIMEOUT_MULTIPLE * 1000.0) as Micros,
             statistics: CounterStatistics::default(),
         }
     }
--- a/fleet/src/endpoint_list.rs
+++ b/fleet/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The gateway's own endpoint list code: its parser and its registry. Nothing else of the gateway is used,
+//! The gateway's real endpoint list code: its parser and its registry. Nothing else of the gateway is used,
 //! except the watch, its timing and the engine in `slopes::list_watch`.
 
 use ryefront_gateway::discovery::EndpointList as ParsedList;
--- a/fleet/src/endpoints.rs
+++ b/fleet/src/endpoints.rs
@@ -1,7 +1,7 @@
 //! Endpoints: cores, queues, slow start, and what each was sent while it was warming up.
 
-use crate::discovery::ListEntry;
 use crate::experiment::{self, Class};
+use crate::list_format::ListEntry;
 use crate::time::{self, Micros};
 use ryefront_policy::EndpointState;
 use std::collections::VecDeque;
@@ -42,7 +42,7 @@
     /// A removed endpoint finishes its jobs and accepts no new ones.
     state: EndpointState,
     speed: f64,
-    /// `None` for long ago.
+    /// `None` if it ran before the simulation began.
     started_at: Option<Micros>,
     busy_cores: u32,
     queue: VecDeque<Job>,
@@ -104,19 +104,19 @@
     settings: experiment::Endpoints,
     /// The mean work of a request, µs.
     mean_work: f64,
-    gateways: u32,
+    gateway_count: u32,
     slow_start: SlowStartStatistics,
 }
 
 impl Endpoints {
-    pub(crate) fn new(settings: &experiment::Endpoints, classes: &[Class], gateways: u32) -> Self {
+    pub(crate) fn new(settings: &experiment::Endpoints, classes: &[Class], gateway_count: u32) -> Self {
         let weights: f64 = classes.iter().map(|class| class.request_weight).sum();
         let work: f64 = classes.iter().map(|class| class.request_weight * class.mean_work_ms * 1000.0).sum();
         Self {
             all: Vec::new(),
             settings: settings.clone(),
             mean_work: work / weights,
-            gateways,
+            gateway_count,
             slow_start: SlowStartStatistics::default(),
         }
     }
@@ -133,7 +133,7 @@
             busy_cores: 0,
             queue: VecDeque::new(),
             attempts: 0,
-            senders: vec![0; self.gateways.div_ceil(u64::BITS) as usize],
+            senders: vec![0; self.gateway_count.div_ceil(u64::BITS) as usize],
             recent_attempts: VecDeque::new(),
         });
         self.all.len() as u32 - 1
--- a/fleet/src/event_queue.rs
+++ b/fleet/src/event_queue.rs
@@ -36,12 +36,12 @@
     /// An endpoint list reaches a gateway.
     ListReceived { gateway: u32, list: usize },
     /// An endpoint is replaced, step by step.
-    Replacement(Replacement),
+    Replacement(ReplacementStep),
 }
 
 /// A step in the replacement of an endpoint.
 #[derive(Clone, Copy)]
-pub(crate) enum Replacement {
+pub(crate) enum ReplacementStep {
     /// It starts to drain.
     Drain { endpoint: u32 },
     /// Its drain grace is over, and it stops.
--- a/fleet/src/experiment/file.rs
+++ b/fleet/src/experiment/file.rs
@@ -153,7 +153,7 @@
 pub struct Endpoints {
     /// Requests that an endpoint processes at once.
     pub cores: u32,
-    /// The speed of an endpoint.
+    /// The speed of an endpoint, relative to nominal: the service time of a request is its work / speed.
     pub speed: Interval<f64>,
     /// Requests that may wait at an endpoint; more are rejected.
     #[serde(rename = "queue")]
@@ -166,7 +166,7 @@
     /// The fraction of its capacity that an endpoint starts with.
     #[serde(rename = "cold_share")]
     pub slow_start_initial_fraction: f64,
-    /// How long an endpoint takes to reach its full capacity.
+    /// The time until an endpoint has its full capacity.
     #[serde(rename = "cold_s")]
     pub slow_start_s: f64,
     /// Overload factor: attempts above this multiple of an endpoint's present capacity within the overload
@@ -179,7 +179,7 @@
     /// Round trips of a new connection.
     #[serde(rename = "handshake_trips")]
     pub handshake_round_trips: u32,
-    /// Work that a new connection takes at the endpoint.
+    /// Work of a new connection at the endpoint.
     #[serde(rename = "handshake_ms")]
     pub handshake_work_ms: f64,
     /// How long an idle connection is kept.
@@ -226,7 +226,7 @@
     /// When the first endpoint drains.
     #[serde(rename = "at_s")]
     pub start_s: f64,
-    /// How long until the last one drains.
+    /// From the first drain to the last.
     #[serde(rename = "over_s")]
     pub duration_s: f64,
     /// The fraction of all endpoints that is replaced.
@@ -265,7 +265,7 @@
     /// The mean work of a request, which is distributed exponentially.
     #[serde(rename = "work_ms")]
     pub mean_work_ms: f64,
-    /// A later response is late.
+    /// Latency objective: a response after it counts as late.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: f64,
     /// How long clients wait.
@@ -276,7 +276,7 @@
     /// How long a repeated idempotency key is recognized.
     #[serde(rename = "window_ms")]
     pub dedup_window_ms: f64,
-    /// The value of a response.
+    /// Priority weight.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
 }
--- a/fleet/src/gateway_process.rs
+++ b/fleet/src/gateway_process.rs
@@ -2,9 +2,10 @@
 //! modelled pool of connections.
 
 use crate::connection::ConnectionPool;
-use crate::discovery::{PublishedList, zone_name};
+use crate::discovery::PublishedList;
 use crate::endpoint_list::{CONNECT_TIMEOUT_MS, Registry};
 use crate::experiment::{Experiment, Plan};
+use crate::list_format::zone_name;
 use crate::time::{self, Micros};
 use ryefront_policy::{Action, Event, LoadReportSource, PolicyEngine, QuotaPlan, Settings, SettingsError};
 
@@ -12,11 +13,11 @@
 pub(crate) const CROSS_ZONE_COST: f64 = 0.01;
 
 /// The settings of a gateway.
-pub(crate) fn settings(experiment: &Experiment, gateways: u32, index: u32, zone: u32) -> Settings {
+pub(crate) fn settings(experiment: &Experiment, gateway_count: u32, index: u32, zone: u32) -> Settings {
     let load = &experiment.load;
     let endpoints = &experiment.endpoints;
     Settings {
-        gateway_count: gateways,
+        gateway_count,
         gateway_index: index,
         zone: zone_name(zone).into(),
         tick: 1.0,
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -12,9 +12,9 @@
 //! - `experiment`: the file that describes a fleet and its load.
 //! - `simulation`: the loop; `event_queue`, `time`, `random` and `setup` serve it.
 //! - `clients`, `tenants`, `attempts`, `requests`: who sends what, and what becomes of it.
-//! - `gateway_process`, `connection`, `endpoint_list`, `endpoints`, `counter`, `discovery`, `network`: the
-//!   parts of the fleet.
-//! - `lifecycle`: the replacement of endpoints.
+//! - `gateway_process`, `connection`, `endpoint_list`, `endpoints`, `counter`, `discovery`, `list_format`,
+//!   `network`: the parts of the fleet.
+//! - `rollout`: the replacement of endpoints.
 //! - `report`: what is counted, and the result.
 
 #![forbid(unsafe_code)]
@@ -27,20 +27,23 @@
 mod discovery;
 mod endpoint_list;
 mod endpoints;
+mod error;
 mod event_queue;
 pub mod experiment;
 mod gateway_process;
-mod lifecycle;
+mod list_format;
 mod network;
 mod random;
 pub mod report;
 mod requests;
+mod rollout;
 mod setup;
 mod simulation;
 pub mod slopes;
 mod tenants;
 mod time;
 
+pub use error::RunError;
 pub use experiment::{Experiment, ExperimentError};
 pub use report::Report;
-pub use simulation::{RunError, run};
+pub use simulation::run;
--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -24,14 +24,15 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Measure what each endpoint, tenant and route costs a gateway, in time and bytes, up to the target sizes.
+    /// Measure what each endpoint, tenant and route costs a gateway, in time and bytes, up to the target
+    /// sizes.
     ///
     /// The gateway's real policy engine and endpoint list code are timed on one core, on a clock and counter
     /// totals kept by the benchmark. A line or a logarithm is fitted through the points and evaluated at the
-    /// target (26,000 endpoints, 300,000 tenants, 15,000 routes). The number of gateways is proportional to the endpoints as
-    /// at the target (3,100 to 26,000), and at least 300. A route is a request class of the settings. Bytes
-    /// are the growth of resident memory of a separate process for each size. Run it from a release build
-    /// on a machine that is not busy.
+    /// target (26,000 endpoints, 300,000 tenants, 15,000 routes). The number of gateways is proportional to
+    /// the endpoints as at the target (3,100 to 26,000), and at least 300. A route is a request class of the
+    /// settings. Bytes are the growth of resident memory of a separate process for each size. Run it from a
+    /// release build on a machine that is not busy.
     Slopes {
         /// Print an array of objects (name, unit, points, at_target and more) instead of the table.
         #[arg(long)]
@@ -40,8 +41,8 @@
     /// Simulate an experiment and print its result.
     ///
     /// The summary is written to standard output. The same file and seed give the same result, byte for byte.
-    /// The status is 0 if all invariants held, 1 if one was violated (standard error says which), 2 if the run
-    /// could not be completed.
+    /// The status is 0 if all invariants held, 1 if one was violated (standard error says which), 2 if the
+    /// run could not be completed.
     ///
     /// Try: ryefront-fleet run fleet/experiments/calm-300.toml --gateways 30
     Run {
@@ -51,8 +52,8 @@
         /// The seed instead of the one in the file.
         #[arg(long)]
         seed: Option<u64>,
-        /// Simulate so many gateways, with endpoints, tenants, requests and counter in proportion to the
-        /// fleet in the file.
+        /// Simulate this number of gateways, with endpoints, tenants, requests and counter in proportion to
+        /// the fleet in the file.
         #[arg(long, value_parser = clap::value_parser!(u32).range(1..=100_000))]
         gateways: Option<u32>,
         /// Write result.json and summary.md into this directory, which is created if necessary. Without it
@@ -81,6 +82,13 @@
     }
 }
 
+/// How the slopes are printed.
+#[derive(Clone, Copy)]
+enum OutputFormat {
+    Json,
+    Table,
+}
+
 /// The exit status for a run that could not be completed.
 const EXIT_ERROR: u8 = 2;
 
@@ -95,7 +103,9 @@
 fn main() -> ExitCode {
     tracing_subscriber::fmt().with_writer(io::stderr).with_ansi(false).init();
     let result = match Cli::parse().command {
-        Command::Slopes { json } => measure_slopes(json),
+        Command::Slopes { json } => {
+            measure_slopes(if json { OutputFormat::Json } else { OutputFormat::Table })
+        }
         Command::Run { file, seed, gateways, out } => run(&file, seed, gateways, out.as_deref()),
         Command::Memory { load, size } => print_memory(load.into(), size),
     };
@@ -105,9 +115,13 @@
     })
 }
 
-fn measure_slopes(json: bool) -> Result<ExitCode, Box<dyn Error>> {
+fn measure_slopes(format: OutputFormat) -> Result<ExitCode, Box<dyn Error>> {
     let slopes = slopes::measure(&Sizes::default(), &memory_of_new_process)?;
-    print!("{}", if json { slopes::json(&slopes) } else { slopes::table(&slopes) });
+    let text = match format {
+        OutputFormat::Json => slopes::json(&slopes),
+        OutputFormat::Table => slopes::table(&slopes),
+    };
+    print!("{text}");
     Ok(ExitCode::SUCCESS)
 }
 
--- a/fleet/src/random.rs
+++ b/fleet/src/random.rs
@@ -4,7 +4,10 @@
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
-/// The parts of the model that draw random numbers. Each has a stream of its own, so that the draws of one do
+/// The increment of SplitMix64: odd, with bits that look random.
+pub(crate) const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// The parts of the model that draw random numbers. Each has a separate stream, so that the draws of one do
 /// not change those of another.
 #[derive(Clone, Copy)]
 pub(crate) enum Stream {
@@ -26,7 +29,7 @@
 impl Random {
     /// One of the streams of a seed.
     pub(crate) fn new(seed: u64, stream: Stream) -> Self {
-        Self(Pcg64Mcg::seed_from_u64(seed ^ (stream as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15)))
+        Self(Pcg64Mcg::seed_from_u64(seed ^ (stream as u64).wrapping_mul(GOLDEN_GAMMA)))
     }
 
     /// 64 random bits.
--- a/fleet/src/report/invariants.rs
+++ b/fleet/src/report/invariants.rs
@@ -46,9 +46,12 @@
             "every client attempt and every forwarded attempt is accounted for",
             metrics.unaccounted,
         ),
-        Invariant::must_be_zero("no client attempt has two final answers", metrics.duplicate_answers),
+        Invariant::must_be_zero("no client attempt has two final answers", metrics.duplicate_completions),
         Invariant::must_be_zero("no action is invalid", metrics.invalid_actions),
-        Invariant::must_be_zero("every client attempt is answered by its deadline", metrics.unanswered),
+        Invariant::must_be_zero(
+            "every client attempt is answered by its deadline",
+            metrics.incomplete_at_deadline,
+        ),
         Invariant::must_be_zero("no client attempt is open at the end", metrics.open_at_end),
         Invariant::must_be_zero(
             "nothing is sent to a draining endpoint after its grace",
@@ -77,8 +80,8 @@
         // While the counter is unavailable, each gateway also admits from its fallback allowance.
         let counter_failed = counter.timed_out + counter.rejected > 0;
         let fallback = if counter_failed { allowed } else { 0.0 };
-        // Each quota window grants a burst, and a run may begin and end within a window; each gateway may admit
-        // one request while the refund of another is in transit.
+        // Each quota window grants a burst, and a run may begin and end within a window; each gateway may
+        // admit one request while the refund of another is in transit.
         let boundary_allowance = quota.burst + f64::from(tenant.gateway_count * experiment.load.units.high);
         tenant.used_units / (allowed + boundary_allowance + fallback)
     };
--- a/fleet/src/report/markdown.rs
+++ b/fleet/src/report/markdown.rs
@@ -97,7 +97,7 @@
         let lists = &self.endpoint_lists;
         table.row(
             "counter calls: per second; per client attempt",
-            format!("{:.0}; {:.3}", calls.per_s, calls.per_request),
+            format!("{:.0}; {:.3}", calls.per_s, calls.per_client_attempt),
         );
         table.row("counter calls timed out; rejected", format!("{}; {}", calls.timed_out, calls.rejected));
         table.row(
@@ -119,7 +119,7 @@
         );
         table.row(
             "attempts per client attempt; handshakes per attempt",
-            format!("{:.3}; {:.3}", self.attempts_per_request, self.handshakes_per_attempt),
+            format!("{:.3}; {:.3}", self.attempts_per_client_attempt, self.handshakes_per_attempt),
         );
         let cross_zone_percent = 100.0 * self.cross_zone_fraction;
         let cross_region_percent = 100.0 * self.cross_region_fraction;
--- a/fleet/src/report/metrics.rs
+++ b/fleet/src/report/metrics.rs
@@ -1,16 +1,17 @@
 //! What is counted during a simulation. Times are in µs.
 
 use crate::attempts::OpenAttempts;
+use crate::clients::ClientRequest;
 use crate::connection::{Connection, ConnectionOrigin};
 use crate::tenants::QuotaCheck;
 use crate::time::Micros;
 use hdrhistogram::Histogram;
 
-/// Why a request was rejected. The policy gives no reason, so it is derived from the tenant's true quota and
-/// from the event that led to the rejection.
+/// Why a request was rejected. The policy gives no reason, so it is derived from what the tenant has left by
+/// the model's exact accounting, and from the event that led to the rejection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RejectionReason {
-    /// The tenant truly had too few units left.
+    /// The tenant had too few units left by the model's exact accounting (gateways only estimate it).
     BeyondQuota,
     /// An attempt had been forwarded.
     AfterAttempt,
@@ -71,8 +72,8 @@
     pub(super) timed_out: u64,
     pub(super) failed: u64,
     pub(super) client_disconnected: u64,
-    /// Not answered by the client's deadline.
-    pub(super) unanswered: u64,
+    /// Not completed by the client's deadline.
+    pub(super) incomplete_at_deadline: u64,
     pub(super) open_at_end: u64,
     pub(super) forwarded: u64,
     forwarded_ended: u64,
@@ -80,8 +81,8 @@
     /// Forwarded to another zone, of the same region or another.
     pub(super) cross_zone: u64,
     pub(super) cross_region: u64,
-    /// Answers to requests that had one, with those of the warm-up.
-    pub(super) duplicate_answers: u64,
+    /// Completions of client attempts that had one, with those of the warm-up.
+    pub(super) duplicate_completions: u64,
     /// Actions that a host cannot perform, with those of the warm-up.
     pub(super) invalid_actions: u64,
     /// Forwarded to a draining endpoint after its grace, with those of the warm-up.
@@ -109,14 +110,14 @@
             timed_out: 0,
             failed: 0,
             client_disconnected: 0,
-            unanswered: 0,
+            incomplete_at_deadline: 0,
             open_at_end: 0,
             forwarded: 0,
             forwarded_ended: 0,
             handshakes: 0,
             cross_zone: 0,
             cross_region: 0,
-            duplicate_answers: 0,
+            duplicate_completions: 0,
             invalid_actions: 0,
             sent_after_drain: 0,
             unaccounted: 0,
@@ -125,11 +126,11 @@
         }
     }
 
-    pub(crate) fn record_offered(&mut self, counted: bool, retries: u32) {
+    pub(crate) fn record_offered(&mut self, request: &ClientRequest) {
         self.offered_with_warm_up += 1;
-        if counted {
+        if request.counted {
             self.offered += 1;
-            self.first_attempts += u64::from(retries == 0);
+            self.first_attempts += u64::from(request.retries == 0);
         }
     }
 
@@ -144,9 +145,9 @@
         self.client_disconnected += 1;
     }
 
-    /// Records that the deadline of a client attempt passed without an answer.
-    pub(crate) fn record_unanswered(&mut self) {
-        self.unanswered += 1;
+    /// Records that the deadline of a client attempt passed before its completion.
+    pub(crate) fn record_incomplete_at_deadline(&mut self) {
+        self.incomplete_at_deadline += 1;
     }
 
     pub(crate) fn record_invalid_action(&mut self) {
@@ -157,8 +158,8 @@
         self.sent_after_drain += 1;
     }
 
-    pub(crate) fn record_duplicate_answer(&mut self) {
-        self.duplicate_answers += 1;
+    pub(crate) fn record_duplicate_completion(&mut self) {
+        self.duplicate_completions += 1;
     }
 
     pub(crate) fn record_served(&mut self, attempt: &ServedAttempt) {
--- a/fleet/src/report/result.rs
+++ b/fleet/src/report/result.rs
@@ -27,7 +27,7 @@
     pub requests_per_s: f64,
     /// Gateways with a real endpoint registry beside their policy engine.
     pub gateways_with_registry: u32,
-    /// The time after the warm-up.
+    /// Measured time, seconds, after the warm-up.
     pub counted_s: f64,
 }
 
@@ -36,7 +36,7 @@
 pub struct Rejections {
     /// All of them.
     pub total: u64,
-    /// The tenant truly had too few units left.
+    /// The tenant had too few units left by the model's exact accounting (gateways only estimate it).
     pub beyond_quota: u64,
     /// An attempt had been forwarded.
     pub after_attempt: u64,
@@ -45,8 +45,8 @@
     pub on_arrival: u64,
     /// On a reply of the counter, though the tenant had the units.
     pub on_counter_reply: u64,
-    /// On any other event, mostly the end of a wait for the counter or for capacity, though the tenant had the
-    /// units.
+    /// On any other event, mostly the end of a wait for the counter or for capacity, though the tenant had
+    /// the units.
     pub wait_expired: u64,
 }
 
@@ -86,11 +86,11 @@
 /// How evenly something is spread over the endpoints that were ready from start to end.
 #[derive(Clone, Debug, Serialize)]
 pub struct Spread {
-    /// The most of an endpoint.
+    /// The largest value of one endpoint.
     pub max: u64,
     /// The mean.
     pub mean: f64,
-    /// One divided by the other.
+    /// `max` / `mean`.
     pub max_over_mean: f64,
 }
 
@@ -111,7 +111,8 @@
     /// Calls per second.
     pub per_s: f64,
     /// Calls per client attempt.
-    pub per_request: f64,
+    #[serde(rename = "per_request")]
+    pub per_client_attempt: f64,
     /// Abandoned by the gateway.
     pub timed_out: u64,
     /// Rejected by the counter.
@@ -166,7 +167,7 @@
     pub first_attempts: u64,
     /// Served ones.
     pub served: u64,
-    /// The fraction of first attempts that were served, then or by a retry.
+    /// The fraction of first attempts that were served, on the first attempt or on a retry.
     pub served_fraction_of_first_attempts: f64,
     /// Served after the latency objective.
     pub late: u64,
@@ -174,7 +175,7 @@
     pub rejected: Rejections,
     /// Rejected while over half of the tenant's burst was left.
     pub rejected_with_quota_left: u64,
-    /// Those as a fraction of all.
+    /// Those as a fraction of client attempts.
     pub rejected_with_quota_left_fraction: f64,
     /// Failed ones.
     pub failed: Failures,
@@ -200,7 +201,8 @@
     /// Attempts to endpoints in slow start.
     pub slow_start: SlowStartLoad,
     /// Forwarded attempts per client attempt.
-    pub attempts_per_request: f64,
+    #[serde(rename = "attempts_per_request")]
+    pub attempts_per_client_attempt: f64,
     /// New connections.
     pub handshakes: u64,
     /// New connections per forwarded attempt.
@@ -257,7 +259,7 @@
             counter: CounterCalls::of(*counter, experiment.duration_s, metrics.offered_with_warm_up),
             endpoint_lists: EndpointLists::of(input.gateways, input.list_count),
             slow_start: SlowStartLoad::of(endpoints),
-            attempts_per_request: fraction(metrics.forwarded, metrics.offered),
+            attempts_per_client_attempt: fraction(metrics.forwarded, metrics.offered),
             handshakes: metrics.handshakes,
             handshakes_per_attempt: fraction(metrics.handshakes, metrics.forwarded),
             cross_zone_fraction: fraction(metrics.cross_zone, metrics.forwarded),
@@ -317,7 +319,7 @@
         Self {
             calls: counter.calls,
             per_s: round(counter.calls as f64 / duration_s),
-            per_request: fraction(counter.calls, offered),
+            per_client_attempt: fraction(counter.calls, offered),
             timed_out: counter.timed_out,
             rejected: counter.rejected,
         }
--- a/fleet/src/requests.rs
+++ b/fleet/src/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of the clients, from the arrival of an attempt to its final answer and the client's retry.
+//! The requests of the clients, from the arrival of an attempt to its completion and the client's retry.
 
 use crate::attempts::{ClientAttempt, ClientAttempts};
 use crate::clients::{ClientBehavior, ClientRequest, Clients, ScheduledRequest};
@@ -25,14 +25,14 @@
     ClientDisconnected,
 }
 
-/// Clients, their tenants, and the client attempts without a final answer.
+/// Clients, their tenants, and the client attempts without a completion.
 pub(crate) struct Requests<'a> {
     experiment: &'a Experiment,
     gateway_count: u32,
     clients: Clients,
     behavior: ClientBehavior,
     pub(crate) tenants: Tenants,
-    pub(crate) attempts: ClientAttempts,
+    pub(crate) client_attempts: ClientAttempts,
     class_names: Vec<Name>,
     plan_names: Vec<Name>,
     quota_demand: f64,
@@ -53,7 +53,7 @@
             clients: Clients::new(experiment, requests_per_s, gateway_count, usage_weights, random),
             behavior: ClientBehavior::new(load, Random::new(seed, Stream::ClientBehavior)),
             tenants,
-            attempts: ClientAttempts::default(),
+            client_attempts: ClientAttempts::default(),
             class_names: experiment.classes.iter().map(|class| class.name.as_str().into()).collect(),
             plan_names: experiment.plans.iter().map(|plan| plan.name.as_str().into()).collect(),
             quota_demand: requests_per_s * mean_units / total_rate,
@@ -75,16 +75,16 @@
     pub(crate) fn open(
         &mut self, request: ClientRequest, now: Micros, events: &mut EventQueue, metrics: &mut Metrics,
     ) -> Arrival {
-        let id = self.attempts.next_id();
+        let id = self.client_attempts.next_id();
         let arrival = self.arrival(id, &request);
         let time_to_deadline = time::from_ms(arrival.time_to_deadline);
-        metrics.record_offered(request.counted, request.retries);
+        metrics.record_offered(&request);
         if let Some(after) = self.behavior.disconnect_after(time_to_deadline) {
             events.schedule(now + after, SimEvent::ClientDisconnected { id });
         }
         let deadline = now + time_to_deadline;
         events.schedule(deadline, SimEvent::ClientDeadline { id });
-        self.attempts.insert(id, ClientAttempt::new(request, now, deadline));
+        self.client_attempts.insert(id, ClientAttempt::new(request, now, deadline));
         arrival
     }
 
@@ -103,13 +103,13 @@
         }
     }
 
-    /// Gives a client attempt its final answer.
+    /// Completes a client attempt.
     pub(crate) fn complete(
         &mut self, id: u64, completion: Completion, now: Micros, events: &mut EventQueue,
         metrics: &mut Metrics,
     ) {
-        let Some(attempt) = self.attempts.remove(id) else {
-            return metrics.record_duplicate_answer();
+        let Some(attempt) = self.client_attempts.remove(id) else {
+            return metrics.record_duplicate_completion();
         };
         if attempt.request.counted {
             self.record(&attempt, &completion, now, metrics);
--- a/fleet/src/rollout.rs
+++ b/fleet/src/rollout.rs
@@ -3,7 +3,7 @@
 
 use crate::discovery::Discovery;
 use crate::endpoints::Endpoints;
-use crate::event_queue::{EventQueue, Replacement, SimEvent};
+use crate::event_queue::{EventQueue, ReplacementStep, SimEvent};
 use crate::experiment::{self, Interval};
 use crate::gateway_process::GatewayProcess;
 use crate::random::Random;
@@ -11,8 +11,8 @@
 use ryefront_policy::EndpointState;
 use std::collections::HashMap;
 
-/// What a replacement changes.
-pub(crate) struct FleetState<'a> {
+/// The parts of the fleet that a replacement changes.
+pub(crate) struct RolloutContext<'a> {
     pub(crate) endpoints: &'a mut Endpoints,
     pub(crate) discovery: &'a mut Discovery,
     pub(crate) events: &'a mut EventQueue,
@@ -31,17 +31,18 @@
 }
 
 impl Rollout {
-    /// Schedules the replacement of endpoints drawn at random from so many.
+    /// Schedules the replacement of endpoints drawn at random from the first `endpoint_count`.
     pub(crate) fn schedule(
         settings: &experiment::Rollout, endpoint_speed: Interval<f64>, endpoint_count: u32,
         random: &mut Random, events: &mut EventQueue,
     ) -> Self {
         let mut order: Vec<u32> = (0..endpoint_count).collect();
         let replaced = (f64::from(endpoint_count) * settings.replaced_fraction).round() as usize;
+        // A partial Fisher-Yates shuffle: the first `replaced` of the order are drawn.
         for n in 0..replaced {
             order.swap(n, n + random.below(endpoint_count as usize - n));
             let at_s = settings.start_s + settings.duration_s * n as f64 / replaced as f64;
-            let drain = Replacement::Drain { endpoint: order[n] };
+            let drain = ReplacementStep::Drain { endpoint: order[n] };
             events.schedule(time::from_s(at_s), SimEvent::Replacement(drain));
         }
         Self {
@@ -67,22 +68,22 @@
     }
 
     /// Performs a step of a replacement and schedules the next one.
-    pub(crate) fn perform(&mut self, step: Replacement, now: Micros, fleet: FleetState<'_>) {
-        let FleetState { endpoints, discovery, events, random } = fleet;
+    pub(crate) fn perform(&mut self, step: ReplacementStep, now: Micros, context: RolloutContext<'_>) {
+        let RolloutContext { endpoints, discovery, events, random } = context;
         match step {
-            Replacement::Drain { endpoint } => {
+            ReplacementStep::Drain { endpoint } => {
                 self.unpublished_drains.push(endpoint);
                 discovery.record(endpoints.set_state(endpoint, EndpointState::Draining));
-                let stop = Replacement::Stop { endpoint };
+                let stop = ReplacementStep::Stop { endpoint };
                 events.schedule(now + self.drain_grace(), SimEvent::Replacement(stop));
             }
-            Replacement::Stop { endpoint } => {
+            ReplacementStep::Stop { endpoint } => {
                 discovery.record(endpoints.set_state(endpoint, EndpointState::Removed));
                 let boot_time = time::from_s(self.settings.boot_s);
-                let start = Replacement::StartSuccessor { replaced: endpoint };
+                let start = ReplacementStep::StartSuccessor { replaced: endpoint };
                 events.schedule(now + boot_time, SimEvent::Replacement(start));
             }
-            Replacement::StartSuccessor { replaced } => {
+            ReplacementStep::StartSuccessor { replaced } => {
                 let speed = random.within(self.endpoint_speed);
                 let successor = endpoints.add_successor(replaced, speed, now);
                 discovery.record(endpoints.list_entry(successor));
--- a/fleet/src/setup.rs
+++ b/fleet/src/setup.rs
@@ -26,6 +26,7 @@
     let mut endpoints = Endpoints::new(settings, &experiment.classes, gateway_count);
     let count = ((f64::from(experiment.fleet.endpoints) * fraction).round() as u32).max(1);
     for n in 0..count {
+        // A cell lies within one zone.
         let zone = n % zones;
         let cell = n / zones / settings.cell_size * zones + zone;
         endpoints.add(zone, cell.into(), random.within(settings.speed), None);
--- a/fleet/src/simulation.rs
+++ b/fleet/src/simulation.rs
@@ -1,43 +1,33 @@
 //! The simulation: one loop over the events of the fleet in virtual time, and what each event leads to.
 
-use crate::attempts::AttemptEnding;
+use crate::attempts::AttemptResult;
 use crate::clients::ClientRequest;
 use crate::connection::EndpointRoute;
 use crate::counter::{Counter, CounterCall};
-use crate::discovery::{Discovery, ListEntry, endpoint_number};
-use crate::endpoint_list::EndpointListError;
+use crate::discovery::Discovery;
 use crate::endpoints::{Acceptance, Endpoints, Job, StartedJob};
-use crate::event_queue::{EventQueue, Replacement, Scheduled, SimEvent};
+use crate::error::RunError;
+use crate::event_queue::{EventQueue, ReplacementStep, Scheduled, SimEvent};
 use crate::experiment::Experiment;
 use crate::gateway_process::GatewayProcess;
-use crate::lifecycle::{FleetState, Rollout};
+use crate::list_format::{ListEntry, endpoint_number};
 use crate::network::Network;
 use crate::random::{Random, Stream};
 use crate::report::{Metrics, RejectionReason, Report, ReportInput, WorstRatios, worst_quota_usage};
 use crate::requests::{Completion, Requests};
+use crate::rollout::{Rollout, RolloutContext};
 use crate::setup;
 use crate::time::{self, Micros};
-use ryefront_policy::{Action, EndpointState, Event, Name, Outcome, SettingsError};
+use ryefront_policy::{Action, EndpointState, Event, Name, Outcome};
 
 /// Clients start once all gateways have their first endpoint list.
 const CLIENTS_START_AT: Micros = 50_000;
-/// How long after the last deadline a simulation may go on.
-const MAX_DRAIN_TIME: Micros = 1_000_000;
+/// How long the simulation may run past the last deadline.
+const MAX_OVERRUN: Micros = 1_000_000;
 const SECOND: Micros = 1_000_000;
 /// The zone of the counter.
 const COUNTER_ZONE: u32 = 0;
 
-/// An experiment that cannot be simulated.
-#[derive(Debug, thiserror::Error)]
-pub enum RunError {
-    /// The policy engine rejects the settings.
-    #[error("the policy engine rejects the experiment's settings: {0}")]
-    Settings(#[from] SettingsError),
-    /// The gateways' parser rejects a list.
-    #[error("the gateways' parser rejects the model's endpoint list: {0}")]
-    List(#[from] EndpointListError),
-}
-
 struct Simulation<'a> {
     experiment: &'a Experiment,
     now: Micros,
@@ -112,18 +102,18 @@
     fn run(&mut self) -> Result<(), RunError> {
         let end = time::from_s(self.experiment.duration_s);
         let deadlines = self.experiment.classes.iter().map(|class| class.deadline_ms);
-        let latest_end = end + time::from_ms(deadlines.fold(0.0, f64::max)) + MAX_DRAIN_TIME;
+        let latest_end = end + time::from_ms(deadlines.fold(0.0, f64::max)) + MAX_OVERRUN;
         let mut second = 0;
         while let Some(Scheduled { at, event, .. }) = self.events.pop() {
-            if at > latest_end || (at > end && self.requests.attempts.count() == 0) {
+            if at > latest_end || (at > end && self.requests.client_attempts.count() == 0) {
                 break;
             }
             self.now = at;
             if at / SECOND > second {
                 second = at / SECOND;
-                self.metrics.audit(&self.requests.attempts.counted());
-                let attempts = self.requests.attempts.last_id();
-                let open = self.requests.attempts.count();
+                self.metrics.audit(&self.requests.client_attempts.open_counted());
+                let attempts = self.requests.client_attempts.last_id();
+                let open = self.requests.client_attempts.count();
                 tracing::info!(second, attempts, open, "simulated");
             }
             match event {
@@ -131,7 +121,7 @@
                 event => self.handle(event)?,
             }
         }
-        self.metrics.finish(&self.requests.attempts.counted());
+        self.metrics.finish(&self.requests.client_attempts.open_counted());
         Ok(())
     }
 
@@ -149,7 +139,7 @@
             SimEvent::AttemptArrived { endpoint, job } => self.attempt_arrived(endpoint, job),
             SimEvent::JobFinished { endpoint, job } => self.job_finished(endpoint, job),
             SimEvent::AttemptEnded { id, attempt, outcome, queue_length } => {
-                if self.requests.attempts.is_in_flight(id, attempt) {
+                if self.requests.client_attempts.is_in_flight(id, attempt) {
                     self.attempt_ended(id, outcome, Some(queue_length));
                 }
             }
@@ -210,7 +200,7 @@
 
     fn forward(&mut self, gateway: u32, id: u64, endpoint_name: Name) {
         let endpoint = endpoint_number(&endpoint_name).filter(|number| *number < self.endpoints.count());
-        let attempt = self.requests.attempts.get(id).filter(|attempt| attempt.in_flight.is_none());
+        let attempt = self.requests.client_attempts.get(id).filter(|attempt| attempt.in_flight.is_none());
         let (Some(endpoint), Some(_)) = (endpoint, attempt) else {
             // A real gateway reports such an attempt as not sent; here it is a fault of the policy.
             return self.metrics.record_invalid_action();
@@ -229,7 +219,7 @@
         };
         let pool = &mut self.gateways[gateway as usize].connections;
         let connection = pool.connect(&route, &self.experiment.endpoints, &mut self.network, self.now);
-        let Some(attempt) = self.requests.attempts.get_mut(id) else { return };
+        let Some(attempt) = self.requests.client_attempts.get_mut(id) else { return };
         let handshake = connection.handshake;
         let in_flight = attempt.forward(endpoint, endpoint_name, handshake, self.now);
         if attempt.request.counted {
@@ -251,9 +241,9 @@
         self.requests.complete(id, completion, self.now, &mut self.events, &mut self.metrics);
     }
 
-    /// Ends the attempt in flight of a request, as its gateway learns it.
+    /// Ends the attempt in flight of a request, at the time its gateway observes it.
     fn attempt_ended(&mut self, id: u64, outcome: Outcome, queue_length: Option<f64>) {
-        let Some(attempt) = self.requests.attempts.get_mut(id) else { return };
+        let Some(attempt) = self.requests.client_attempts.get_mut(id) else { return };
         let Some(in_flight) = attempt.in_flight.take() else { return };
         let gateway = attempt.request.gateway;
         let attempt_latency = self.now - in_flight.sent_at;
@@ -266,24 +256,24 @@
         if outcome == Outcome::Served {
             self.complete(id, Completion::Served { added });
         }
-        let request_finished = !self.requests.attempts.is_open(id);
-        let ending = AttemptEnding { id, outcome, request_finished, queue_length };
-        self.notify(gateway, in_flight.end(ending, self.now), RejectionReason::WaitExpired);
+        let request_finished = !self.requests.client_attempts.is_open(id);
+        let result = AttemptResult { id, outcome, request_finished, queue_length };
+        self.notify(gateway, in_flight.end(result, self.now), RejectionReason::WaitExpired);
     }
 
     fn deadline_passed(&mut self, id: u64) {
-        if self.requests.attempts.get(id).is_some_and(|attempt| attempt.in_flight.is_some()) {
+        if self.requests.client_attempts.get(id).is_some_and(|attempt| attempt.in_flight.is_some()) {
             self.attempt_ended(id, Outcome::TimedOut, None);
         }
-        // The gateway must have answered by now; if it has not, the client disconnects.
-        if self.requests.attempts.get(id).is_some_and(|attempt| attempt.request.counted) {
-            self.metrics.record_unanswered();
+        // The gateway must have completed it by now; if it has not, the client disconnects.
+        if self.requests.client_attempts.get(id).is_some_and(|attempt| attempt.request.counted) {
+            self.metrics.record_incomplete_at_deadline();
         }
         self.client_disconnected(id);
     }
 
     fn client_disconnected(&mut self, id: u64) {
-        let Some(attempt) = self.requests.attempts.get_mut(id) else { return };
+        let Some(attempt) = self.requests.client_attempts.get_mut(id) else { return };
         let gateway = attempt.request.gateway;
         let in_flight = attempt.in_flight.take();
         if attempt.request.counted && in_flight.is_some() {
@@ -294,19 +284,20 @@
         let Some(in_flight) = in_flight else { return };
         // The attempt in flight is cancelled with its request, and the gateway is notified of its end.
         let outcome = Outcome::Cancelled;
-        let ending = AttemptEnding { id, outcome, request_finished: true, queue_length: None };
-        self.notify(gateway, in_flight.end(ending, self.now), RejectionReason::WaitExpired);
+        let result = AttemptResult { id, outcome, request_finished: true, queue_length: None };
+        self.notify(gateway, in_flight.end(result, self.now), RejectionReason::WaitExpired);
     }
 
     fn attempt_arrived(&mut self, endpoint: u32, job: Job) {
-        if !self.requests.attempts.awaits(&job) {
+        if !self.requests.client_attempts.awaits(&job) {
             return;
         }
         if self.endpoints.get(endpoint).state() == EndpointState::Removed {
             return self.respond(endpoint, job, Outcome::ConnectFailed);
         }
+        // A request is charged once, at its first attempt to arrive.
         if let Some(attempt) =
-            self.requests.attempts.get_mut(job.id).filter(|attempt| attempt.quota_check.is_none())
+            self.requests.client_attempts.get_mut(job.id).filter(|attempt| attempt.quota_check.is_none())
         {
             let request = &attempt.request;
             attempt.quota_check = Some(self.requests.tenants.charge(request.tenant, request.units, self.now));
@@ -323,7 +314,7 @@
     fn job_finished(&mut self, endpoint: u32, job: Job) {
         let error = self.service_random.unit() < self.experiment.endpoints.error_rate;
         self.respond(endpoint, job, if error { Outcome::Error } else { Outcome::Served });
-        let attempts = &self.requests.attempts;
+        let attempts = &self.requests.client_attempts;
         let next = self.endpoints.start_next(endpoint, self.now, |job| attempts.awaits(job));
         if let Some(StartedJob { job, service_time }) = next {
             self.events.schedule(self.now + service_time, SimEvent::JobFinished { endpoint, job });
@@ -339,15 +330,15 @@
         self.events.schedule(self.now + delay, event);
     }
 
-    fn replace_endpoint(&mut self, step: Replacement) {
-        let fleet = FleetState {
+    fn replace_endpoint(&mut self, step: ReplacementStep) {
+        let context = RolloutContext {
             endpoints: &mut self.endpoints,
             discovery: &mut self.discovery,
             events: &mut self.events,
             random: &mut self.service_random,
         };
         if let Some(rollout) = &mut self.rollout {
-            rollout.perform(step, self.now, fleet);
+            rollout.perform(step, self.now, context);
         }
     }
 
--- a/fleet/src/slopes/fit.rs
+++ b/fleet/src/slopes/fit.rs
@@ -109,7 +109,8 @@
     pub fit: Fit,
     /// The slope of that function; 0 where none was fitted.
     pub slope: f64,
-    /// Its value where the size, or its logarithm, is 0; where none was fitted, the value at the largest size.
+    /// Its value where the size, or its logarithm, is 0; where none was fitted, the value at the largest
+    /// size.
     pub intercept: f64,
     /// The target size.
     pub target: f64,
--- a/fleet/src/slopes/measure.rs
+++ b/fleet/src/slopes/measure.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns what [`measure_memory`](super::measure_memory) returns in a process of its own.
+/// Returns what [`measure_memory`](super::measure_memory) returns in a separate process.
 pub type MemoryProbe<'a> = &'a dyn Fn(MemoryLoad, usize) -> Result<u64, SlopesError>;
 
 /// Measures all figures.
--- a/fleet/src/slopes/measured_gateway.rs
+++ b/fleet/src/slopes/measured_gateway.rs
@@ -1,11 +1,11 @@
-//! The gateway code that is measured: a policy engine and an endpoint registry, with a clock and counter totals
-//! kept here.
+//! The gateway code that is measured: a policy engine and an endpoint registry, with a clock and counter
+//! totals kept here.
 
 use super::error::SlopesError;
 use super::fit::Dimension;
-use crate::discovery::{ListEntry, ListKind, list_text};
 use crate::endpoint_list::{CONNECT_TIMEOUT_MS, EndpointList, EndpointListError, Registry};
 use crate::gateway_process::{CROSS_ZONE_COST, MAX_ATTEMPTS};
+use crate::list_format::{ListEntry, ListKind, list_text};
 use ryefront_policy::{
     Action, Arrival, AttemptEnd, CounterResult, DedupScope, EndpointState, Event, Idempotency,
     LoadReportSource, Millis, Name, Outcome, PolicyEngine, QuotaPlan, RequestClass, Settings, SettingsError,
--- a/fleet/src/slopes/memory.rs
+++ b/fleet/src/slopes/memory.rs
@@ -4,7 +4,7 @@
 use super::measured_gateway::{FleetSize, MeasuredGateway, snapshot};
 use std::io;
 
-/// What takes the memory.
+/// What uses the memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemoryLoad {
     /// Tenants whose requests a gateway has had.
@@ -13,8 +13,8 @@
     Endpoints,
 }
 
-/// Returns by how many bytes this process grows as a gateway in it is given a load. To be called in a process
-/// of its own.
+/// Returns by how many bytes this process grows as a gateway in it is given a load. To be called in a
+/// separate process.
 ///
 /// # Errors
 /// When the memory cannot be read or the gateway's code rejects what it is given.
--- a/fleet/src/slopes/mod.rs
+++ b/fleet/src/slopes/mod.rs
@@ -8,8 +8,8 @@
 //! - `memory`: the growth of a process.
 //! - `fit`: the fitted line; `table`: the output.
 //!
-//! Times are medians by the monotonic clock. Bytes are the growth of the process's resident memory, in a process
-//! of its own for each size, so that memory freed before is not reused.
+//! Times are medians by the monotonic clock. Bytes are the growth of the process's resident memory, in a
+//! separate process for each size, so that memory freed before is not reused.
 
 mod error;
 mod fit;
--- a/fleet/src/tenants.rs
+++ b/fleet/src/tenants.rs
@@ -1,7 +1,8 @@
-//! Tenants, and what each truly has left of its quota, by the requests that reached an endpoint.
+//! Tenants, and what each has left of its quota by the model's exact accounting of the requests that reached
+//! an endpoint. Gateways only estimate it.
 
 use crate::experiment::Experiment;
-use crate::random::Random;
+use crate::random::{GOLDEN_GAMMA, Random};
 use crate::time::Micros;
 use ryefront_policy::Name;
 
@@ -53,9 +54,9 @@
 }
 
 impl Tenants {
-    /// Draws the tenants of a fraction of the fleet, which so many gateways serve.
+    /// Draws the tenants of a fraction of the fleet, which `gateway_count` gateways serve.
     pub(crate) fn generate(
-        experiment: &Experiment, fraction: f64, gateways: u32, random: &mut Random,
+        experiment: &Experiment, fraction: f64, gateway_count: u32, random: &mut Random,
     ) -> GeneratedTenants {
         let load = &experiment.load;
         let plan_weights = cumulative(experiment.plans.iter().map(|plan| plan.tenant_weight));
@@ -71,7 +72,7 @@
         for number in 0..count {
             let plan = random.weighted(&plan_weights);
             let settings = &experiment.plans[plan];
-            let served_by = random.within(settings.gateway_fraction) * f64::from(gateways);
+            let tenant_gateways = random.within(settings.gateway_fraction) * f64::from(gateway_count);
             let heavy = random.unit() < load.heavy_fraction;
             let usage_factor = random.within(if heavy { load.heavy_usage_factor } else { load.usage_factor });
             usage.push(settings.rate * usage_factor);
@@ -79,8 +80,8 @@
             all.push(Tenant {
                 name: tenant_name(number),
                 plan,
-                first_gateway: random.below(gateways as usize) as u32,
-                gateway_count: served_by.round().max(1.0) as u32,
+                first_gateway: random.below(gateway_count as usize) as u32,
+                gateway_count: tenant_gateways.round().max(1.0) as u32,
                 used_units: 0.0,
                 remaining: quotas[plan].burst,
                 charged_at: 0,
@@ -101,15 +102,15 @@
         self.quotas[tenant.plan]
     }
 
-    /// The units that a tenant truly has left.
+    /// The units that a tenant has left by the model's exact accounting.
     pub(crate) fn remaining(&self, tenant: u32, now: Micros) -> f64 {
         let tenant = self.get(tenant);
         let quota = self.quota(tenant);
         (tenant.remaining + quota.rate * (now - tenant.charged_at) as f64 / 1e6).min(quota.burst)
     }
 
-    /// Records the units used by a request that reached an endpoint, and deducts them from the quota if it has
-    /// as many left.
+    /// Records the units used by a request that reached an endpoint, and deducts them from the quota if it
+    /// has as many left.
     pub(crate) fn charge(&mut self, tenant: u32, units: f64, now: Micros) -> QuotaCheck {
         let remaining = self.remaining(tenant, now);
         let tenant = &mut self.all[tenant as usize];
@@ -125,7 +126,7 @@
     }
 }
 
-/// Sums of the weights up to each.
+/// Running sums of the weights.
 pub(crate) fn cumulative(weights: impl IntoIterator<Item = f64>) -> Vec<f64> {
     let mut sum = 0.0;
     let add = |weight: f64| {
@@ -137,7 +138,6 @@
 
 /// 16 hexadecimal digits below 2^33, as tenants' names have them; the odd factor makes each unique.
 fn tenant_name(number: u32) -> Name {
-    const FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
     const MASK: u64 = 0x1_ffff_ffff;
-    format!("{:016x}", u64::from(number).wrapping_mul(FACTOR) & MASK).into()
+    format!("{:016x}", u64::from(number).wrapping_mul(GOLDEN_GAMMA) & MASK).into()
 }
--- a/fleet/src/time.rs
+++ b/fleet/src/time.rs
@@ -5,8 +5,8 @@
 /// Microseconds: a point in virtual time, or a duration.
 pub(crate) type Micros = u64;
 
-/// The gateways' clocks at the start of the simulation, so that no endpoint starts at 0, which means long
-/// ago.
+/// The gateways' clocks at the start of the simulation, so that no endpoint starts at 0, which on the wire is
+/// an unknown start.
 const EPOCH: Millis = 1e9;
 
 /// A duration in ms, rounded down.
