--- a/fleet/tests/simulation.rs
+++ b/fleet/tests/simulation.rs
@@ -43,7 +43,8 @@
     assert_eq!(report.violations().map(|violation| violation.name).collect::<Vec<_>>(), Vec::<&str>::new());
     assert_eq!((report.counter.timed_out, report.counter.rejected), (0, 0));
     assert!(report.rejected.total > 100, "{}", report.markdown());
-    let (rejected, failed) = (&report.rejected, &report.failed);
+    let rejected = &report.rejected;
+    let failed = &report.failed;
     let ended = report.served + rejected.total + failed.timed_out + failed.other + report.client_disconnected;
     assert_eq!(report.offered, ended);
     let by_reason = [
--- a/sim-adapter/tests/host.rs
+++ b/sim-adapter/tests/host.rs
@@ -60,7 +60,8 @@
 
 #[test]
 fn instances_share_no_state() {
-    let (three, four) = (start(3), start(4));
+    let three = start(3);
+    let four = start(4);
     let list_of_four = ENDPOINT_LIST.replace("\t3\t", "\t4\t");
     let request_of_four = REQUEST.replace("\t3\t", "\t4\t");
     let lines_of_four = |lines: Vec<String>| -> Vec<String> {
--- a/sim-adapter/tests/settings.rs
+++ b/sim-adapter/tests/settings.rs
@@ -1,7 +1,7 @@
-//! Settings with one key missing or zero, played on the wire: every request still gets one answer in time, or
+//! Settings with one key missing or zero, simulated on the wire: every request still gets one answer in time, or
 //! the start of the instance names the fault.
 
-use ryefront_sim_adapter::Host;
+use ryefront_sim_adapter::{Host, HostError};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -62,7 +62,7 @@
     Some(settings)
 }
 
-/// The instance that is played.
+/// The instance that is simulated.
 const INSTANCE: u64 = 3;
 const REQUESTS: u64 = 18;
 const TIME_TO_DEADLINE_MS: u64 = 900;
@@ -86,9 +86,9 @@
 /// attempt is reset.
 struct Simulator {
     host: Host,
-    /// The events to come, by their time and the order in which they were planned.
+    /// The events to come, by their time and the order in which they were scheduled.
     events: BTreeMap<(u64, u64), String>,
-    planned: u64,
+    scheduled_count: u64,
     counter_calls: u32,
     /// The last attempt of each request.
     attempts: BTreeMap<u64, Attempt>,
@@ -99,14 +99,14 @@
 }
 
 impl Simulator {
-    /// Plans the start and all requests: of all classes and plans, and of up to four units.
+    /// Schedules the start and all requests: of all classes and plans, and of up to four units.
     fn new(settings: &Value) -> Self {
         let classes = settings["classes"].as_array().into_iter().flatten();
         let book = classes.into_iter().find(|class| class["name"] == "book");
         let mut simulator = Self {
             host: Host::default(),
             events: BTreeMap::new(),
-            planned: 0,
+            scheduled_count: 0,
             counter_calls: 0,
             attempts: BTreeMap::new(),
             answers: BTreeMap::new(),
@@ -115,25 +115,25 @@
         };
         let start = format!("START\t{INSTANCE}\t7\t{settings}");
         let table = "TABLE\t0\t2\nENTRY\tx\tz\tk\t0\tIN\t1\t-\nENTRY\ty\tz\tk\t0\tIN\t1\t995";
-        simulator.plan(1000, format!("{start}\n{table}\nANNOUNCE\t{INSTANCE}\tall\t1\t0"));
+        simulator.schedule(1000, format!("{start}\n{table}\nANNOUNCE\t{INSTANCE}\tall\t1\t0"));
         for id in 0..REQUESTS {
-            simulator.plan(arrival_ms(id), request(id));
+            simulator.schedule(arrival_ms(id), request(id));
             simulator.answers.insert(id, 0);
         }
         simulator
     }
 
-    fn plan(&mut self, at_ms: u64, event: String) {
-        self.planned += 1;
-        self.events.insert((at_ms, self.planned), event);
+    fn schedule(&mut self, at_ms: u64, event: String) {
+        self.scheduled_count += 1;
+        self.events.insert((at_ms, self.scheduled_count), event);
     }
 
-    /// Plays until the end, one event a batch.
-    fn run(&mut self) -> Result<(), String> {
+    /// Runs until the end, one event in each batch.
+    fn run(&mut self) -> Result<(), HostError> {
         while let Some(((now, _), event)) = self.events.pop_first().filter(|((now, _), _)| *now < END_MS) {
             let batch = format!("BATCH\t{now}\n{event}\nYOUR_TURN\n");
             let mut reply = Vec::new();
-            self.host.run(&mut batch.as_bytes(), &mut reply).map_err(|e| e.to_string())?;
+            self.host.run(&mut batch.as_bytes(), &mut reply)?;
             for line in String::from_utf8(reply).expect("text").lines() {
                 self.perform(now, line);
             }
@@ -147,7 +147,7 @@
         match fields[0] {
             "NOTIFY_ME" => {
                 let after: f64 = fields[2].parse().expect("a time");
-                self.plan(now + after.max(1.0).ceil() as u64, format!("DUE\t{INSTANCE}\t{}", fields[3]));
+                self.schedule(now + after.max(1.0).ceil() as u64, format!("DUE\t{INSTANCE}\t{}", fields[3]));
             }
             "CHARGE_COUNTER" => self.call_counter(now, fields[2], fields[3]),
             "HAND_OFF" => self.forward(now, request_id(), fields[3]),
@@ -163,9 +163,9 @@
     fn call_counter(&mut self, now: u64, key: &str, amount: &str) {
         self.counter_calls += 1;
         if self.counter_calls.is_multiple_of(3) {
-            self.plan(now + 30, format!("TOTAL\t{INSTANCE}\texpired\t{key}\t30\t-"));
+            self.schedule(now + 30, format!("TOTAL\t{INSTANCE}\texpired\t{key}\t30\t-"));
         } else {
-            self.plan(now + 3, format!("TOTAL\t{INSTANCE}\tdelivered\t{key}\t3\t{amount}"));
+            self.schedule(now + 3, format!("TOTAL\t{INSTANCE}\tdelivered\t{key}\t3\t{amount}"));
         }
     }
 
@@ -183,7 +183,7 @@
             self.answer(id);
         }
         let end = format!("{outcome}\t-\t{}\t-\t{finished}\t-", attempt.number);
-        self.plan(now + 20, format!("ATTEMPT_END\t{INSTANCE}\t{id}\t20\t{endpoint}\t{end}"));
+        self.schedule(now + 20, format!("ATTEMPT_END\t{INSTANCE}\t{id}\t20\t{endpoint}\t{end}"));
     }
 
     fn answer(&mut self, id: u64) {
@@ -203,23 +203,23 @@
     format!("ORDER\t{INSTANCE}\t{id}\t{tenant_and_class}\t0\t{gateways_per_tenant}\t{units}\t{plan}")
 }
 
-/// What came of a run.
-struct Played {
+/// The result of a run.
+struct RunResult {
     answers: BTreeMap<u64, u32>,
     retried_requests: usize,
 }
 
-/// Plays some settings, or returns the error of the start.
-fn play(settings: &Value) -> Result<Played, String> {
+/// Simulates an instance with these settings, or returns the error of its start.
+fn simulate(settings: &Value) -> Result<RunResult, HostError> {
     let mut simulator = Simulator::new(settings);
     simulator.run()?;
     let retried_requests = simulator.attempts.values().filter(|attempt| attempt.number > 0).count();
-    Ok(Played { answers: simulator.answers, retried_requests })
+    Ok(RunResult { answers: simulator.answers, retried_requests })
 }
 
 #[test]
 fn each_request_gets_one_answer_or_the_start_fails_with_any_setting_missing_or_zero() {
-    assert!(play(&settings()).is_ok_and(|played| played.retried_requests > 0));
+    assert!(simulate(&settings()).is_ok_and(|result| result.retried_requests > 0));
     let mut keys = Vec::new();
     paths(&settings(), "", &mut keys);
     let missing = keys.iter().map(|path| (format!("no {path}"), without(path)));
@@ -227,8 +227,8 @@
 
     let mut errors = Vec::new();
     for (change, settings) in missing.chain(zeros) {
-        match play(&settings) {
-            Ok(played) => assert!(played.answers.values().all(|n| *n == 1), "{change}: {:?}", played.answers),
+        match simulate(&settings) {
+            Ok(result) => assert!(result.answers.values().all(|n| *n == 1), "{change}: {:?}", result.answers),
             Err(error) => errors.push(format!("{change}: {error}")),
         }
     }
