--- a/fleet/src/endpoints.rs
+++ b/fleet/src/endpoints.rs
@@ -1,7 +1,7 @@
 //! Endpoints: cores, queues, slow start, and what each was sent while it was warming up.
 
-use crate::discovery::ListEntry;
 use crate::experiment::{self, Class};
+use crate::list_format::ListEntry;
 use crate::time::{self, Micros};
 use ryefront_policy::EndpointState;
 use std::collections::VecDeque;
@@ -18,10 +18,18 @@
     pub(crate) work: f64,
 }
 
+/// A job that an endpoint has started.
+pub(crate) struct StartedJob {
+    pub(crate) job: Job,
+    pub(crate) service_time: Micros,
+}
+
 /// What an endpoint does with a job.
 pub(crate) enum Acceptance {
-    /// It starts at once and takes so long.
-    Started(Micros),
+    /// It starts at once.
+    Started {
+        service_time: Micros,
+    },
     Queued,
     /// The queue is full.
     Rejected,
@@ -34,7 +42,7 @@
     /// A removed endpoint finishes its jobs and accepts no new ones.
     state: EndpointState,
     speed: f64,
-    /// `None` for long ago.
+    /// `None` if it ran before the simulation began.
     started_at: Option<Micros>,
     busy_cores: u32,
     queue: VecDeque<Job>,
@@ -96,19 +104,19 @@
     settings: experiment::Endpoints,
     /// The mean work of a request, µs.
     mean_work: f64,
-    gateways: u32,
+    gateway_count: u32,
     slow_start: SlowStartStatistics,
 }
 
 impl Endpoints {
-    pub(crate) fn new(settings: &experiment::Endpoints, classes: &[Class], gateways: u32) -> Self {
+    pub(crate) fn new(settings: &experiment::Endpoints, classes: &[Class], gateway_count: u32) -> Self {
         let weights: f64 = classes.iter().map(|class| class.request_weight).sum();
         let work: f64 = classes.iter().map(|class| class.request_weight * class.mean_work_ms * 1000.0).sum();
         Self {
             all: Vec::new(),
             settings: settings.clone(),
             mean_work: work / weights,
-            gateways,
+            gateway_count,
             slow_start: SlowStartStatistics::default(),
         }
     }
@@ -125,7 +133,7 @@
             busy_cores: 0,
             queue: VecDeque::new(),
             attempts: 0,
-            senders: vec![0; self.gateways.div_ceil(u64::BITS) as usize],
+            senders: vec![0; self.gateway_count.div_ceil(u64::BITS) as usize],
             recent_attempts: VecDeque::new(),
         });
         self.all.len() as u32 - 1
@@ -179,30 +187,31 @@
     }
 
     /// The fraction of its capacity that an endpoint has.
-    fn slow_start_progress(&self, endpoint: u32, now: Micros) -> f64 {
+    fn capacity_fraction(&self, endpoint: u32, now: Micros) -> f64 {
         let Some(started_at) = self.get(endpoint).started_at else { return 1.0 };
         let settings = &self.settings;
-        let age = (now.saturating_sub(started_at) as f64 / (settings.slow_start_s * 1e6)).min(1.0);
-        settings.slow_start_initial_fraction + (1.0 - settings.slow_start_initial_fraction) * age
+        let slow_start_progress =
+            (now.saturating_sub(started_at) as f64 / (settings.slow_start_s * 1e6)).min(1.0);
+        settings.slow_start_initial_fraction
+            + (1.0 - settings.slow_start_initial_fraction) * slow_start_progress
     }
 
     /// Records that a gateway sends an attempt.
     pub(crate) fn record_attempt(&mut self, number: u32, gateway: u32, now: Micros) {
-        let progress = self.slow_start_progress(number, now);
+        let capacity_fraction = self.capacity_fraction(number, now);
         let endpoint = &mut self.all[number as usize];
         endpoint.attempts += 1;
         endpoint.senders[(gateway / u64::BITS) as usize] |= 1 << (gateway % u64::BITS);
-        if progress >= 1.0 {
+        if capacity_fraction >= 1.0 {
             endpoint.recent_attempts.clear();
         } else {
-            self.record_slow_start_attempt(number, progress, now);
+            self.record_slow_start_attempt(number, capacity_fraction, now);
         }
     }
 
-    /// Compares the attempts of all gateways within the overload window with what the endpoint bears: the
-    /// budget is N + 2 sqrt(N) + 2, where N is the overload factor times the present capacity over the
-    /// window, as chance alone exceeds N.
-    fn record_slow_start_attempt(&mut self, number: u32, progress: f64, now: Micros) {
+    /// Compares the attempts of all gateways within the overload window with their budget, which
+    /// [`SlowStartLoad`](crate::report::SlowStartLoad) defines.
+    fn record_slow_start_attempt(&mut self, number: u32, capacity_fraction: f64, now: Micros) {
         let settings = &self.settings;
         let endpoint = &mut self.all[number as usize];
         let window = time::from_s(settings.overload_window_s);
@@ -210,7 +219,7 @@
         while endpoint.recent_attempts.front().is_some_and(|at| at + window <= now) {
             endpoint.recent_attempts.pop_front();
         }
-        let per_s = f64::from(settings.cores) * endpoint.speed * progress / self.mean_work * 1e6;
+        let per_s = f64::from(settings.cores) * endpoint.speed * capacity_fraction / self.mean_work * 1e6;
         let mean = settings.overload_factor * per_s * settings.overload_window_s;
         let budget = mean + 2.0 * mean.sqrt() + 2.0;
         let attempts = endpoint.recent_attempts.len() as u64;
@@ -228,7 +237,7 @@
         let endpoint = &mut self.all[number as usize];
         if endpoint.busy_cores < self.settings.cores {
             endpoint.busy_cores += 1;
-            return Acceptance::Started(self.service_time(number, job, now));
+            return Acceptance::Started { service_time: self.service_time(number, job, now) };
         }
         if endpoint.queue.len() >= self.settings.queue_capacity as usize {
             return Acceptance::Rejected;
@@ -237,14 +246,13 @@
         Acceptance::Queued
     }
 
-    /// Uses the core of a finished job for the next job whose gateway still waits: that job and its service
-    /// time.
+    /// Starts the next job whose gateway still waits, on the core of a finished job.
     pub(crate) fn start_next(
         &mut self, number: u32, now: Micros, still_wanted: impl Fn(&Job) -> bool,
-    ) -> Option<(Job, Micros)> {
+    ) -> Option<StartedJob> {
         while let Some(job) = self.all[number as usize].queue.pop_front() {
             if still_wanted(&job) {
-                return Some((job, self.service_time(number, job, now)));
+                return Some(StartedJob { job, service_time: self.service_time(number, job, now) });
             }
         }
         self.all[number as usize].busy_cores -= 1;
@@ -252,6 +260,6 @@
     }
 
     fn service_time(&self, number: u32, job: Job, now: Micros) -> Micros {
-        (job.work / (self.get(number).speed * self.slow_start_progress(number, now))).ceil() as Micros
+        (job.work / (self.get(number).speed * self.capacity_fraction(number, now))).ceil() as Micros
     }
 }
--- a/fleet/src/experiment/file.rs
+++ b/fleet/src/experiment/file.rs
@@ -4,7 +4,8 @@
 use ryefront_policy::{DedupScope, RequestClass};
 use serde::Deserialize;
 
-/// An experiment. Times are in milliseconds (`_ms`) or seconds (`_s`), fractions are between 0 and 1.
+/// An experiment. Times are in milliseconds (`_ms`) or seconds (`_s`). The range of each figure is in
+/// `validate`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
@@ -101,7 +102,7 @@
     pub within_region_ms: f64,
     /// Between regions.
     pub cross_region_ms: f64,
-    /// The fraction by which a delay may be longer.
+    /// The most by which a delay is longer, as a factor on the delay.
     pub jitter: f64,
 }
 
@@ -152,7 +153,7 @@
 pub struct Endpoints {
     /// Requests that an endpoint processes at once.
     pub cores: u32,
-    /// The speed of an endpoint.
+    /// The speed of an endpoint, relative to nominal: the service time of a request is its work / speed.
     pub speed: Interval<f64>,
     /// Requests that may wait at an endpoint; more are rejected.
     #[serde(rename = "queue")]
@@ -165,19 +166,20 @@
     /// The fraction of its capacity that an endpoint starts with.
     #[serde(rename = "cold_share")]
     pub slow_start_initial_fraction: f64,
-    /// How long an endpoint takes to reach its full capacity.
+    /// The time until an endpoint has its full capacity.
     #[serde(rename = "cold_s")]
     pub slow_start_s: f64,
-    /// An endpoint in slow start fails above this multiple of its present capacity.
+    /// Overload factor: attempts above this multiple of an endpoint's present capacity within the overload
+    /// window violate an invariant. The model never fails an endpoint for it.
     #[serde(rename = "fall_multiple")]
     pub overload_factor: f64,
-    /// The time over which that load is measured.
+    /// The overload window: the time over which those attempts are counted.
     #[serde(rename = "fall_s")]
     pub overload_window_s: f64,
     /// Round trips of a new connection.
     #[serde(rename = "handshake_trips")]
     pub handshake_round_trips: u32,
-    /// Work that a new connection takes at the endpoint.
+    /// Work of a new connection at the endpoint.
     #[serde(rename = "handshake_ms")]
     pub handshake_work_ms: f64,
     /// How long an idle connection is kept.
@@ -224,7 +226,7 @@
     /// When the first endpoint drains.
     #[serde(rename = "at_s")]
     pub start_s: f64,
-    /// How long until the last one drains.
+    /// From the first drain to the last.
     #[serde(rename = "over_s")]
     pub duration_s: f64,
     /// The fraction of all endpoints that is replaced.
@@ -263,7 +265,7 @@
     /// The mean work of a request, which is distributed exponentially.
     #[serde(rename = "work_ms")]
     pub mean_work_ms: f64,
-    /// A later response is late.
+    /// Latency objective: a response after it counts as late.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: f64,
     /// How long clients wait.
@@ -274,7 +276,7 @@
     /// How long a repeated idempotency key is recognized.
     #[serde(rename = "window_ms")]
     pub dedup_window_ms: f64,
-    /// The value of a response.
+    /// Priority weight.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
 }
@@ -295,10 +297,10 @@
     /// The fraction of the gateways that serves a tenant.
     #[serde(rename = "spread")]
     pub gateway_fraction: Interval<f64>,
-    /// The fraction of its weight that a request beyond the quota earns.
+    /// What a request beyond the quota earns, as a factor on its weight.
     #[serde(rename = "over_worth")]
     pub over_quota_weight: f64,
-    /// The fraction of its weight that a request beyond the quota costs.
+    /// What a request beyond the quota costs, as a factor on its weight.
     #[serde(rename = "over_cost")]
     pub over_quota_cost: f64,
 }
--- a/fleet/src/report/metrics.rs
+++ b/fleet/src/report/metrics.rs
@@ -1,16 +1,17 @@
 //! What is counted during a simulation. Times are in µs.
 
 use crate::attempts::OpenAttempts;
-use crate::connection::Connection;
+use crate::clients::ClientRequest;
+use crate::connection::{Connection, ConnectionOrigin};
 use crate::tenants::QuotaCheck;
 use crate::time::Micros;
 use hdrhistogram::Histogram;
 
-/// Why a request was rejected. The policy gives no reason, so it is derived from the tenant's true quota and
-/// from the event that led to the rejection.
+/// Why a request was rejected. The policy gives no reason, so it is derived from what the tenant has left by
+/// the model's exact accounting, and from the event that led to the rejection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RejectionReason {
-    /// The tenant truly had too few units left.
+    /// The tenant had too few units left by the model's exact accounting (gateways only estimate it).
     BeyondQuota,
     /// An attempt had been forwarded.
     AfterAttempt,
@@ -18,15 +19,34 @@
     OnArrival,
     /// On a reply of the counter.
     OnCounterReply,
-    /// After a wait for the counter or for capacity.
+    /// On any other event, mostly the end of a wait for the counter or for capacity.
     WaitExpired,
 }
 
-const REJECTION_REASONS: usize = 5;
+impl RejectionReason {
+    /// The number of reasons.
+    const COUNT: usize = Self::WaitExpired as usize + 1;
+}
+
 /// The longest time that the histograms distinguish: ten minutes, as long as any deadline.
 const MAX_TIME: Micros = 600_000_000;
 const HISTOGRAM_DIGITS: u8 = 3;
 
+/// Why a client attempt failed.
+#[derive(Clone, Copy)]
+pub(crate) enum FailureCause {
+    /// There was no response by the deadline.
+    TimedOut,
+    Other,
+}
+
+/// A client attempt that was rejected.
+pub(crate) struct RejectedAttempt {
+    pub(crate) reason: RejectionReason,
+    /// Whether over half of the tenant's burst was left.
+    pub(crate) over_half_burst_left: bool,
+}
+
 /// A client attempt that was served.
 pub(crate) struct ServedAttempt {
     pub(crate) latency: Micros,
@@ -46,14 +66,14 @@
     pub(super) served: u64,
     pub(super) late: u64,
     pub(super) over_quota: u64,
-    rejected: [u64; REJECTION_REASONS],
+    rejected: [u64; RejectionReason::COUNT],
     /// Rejected while over half of the tenant's burst was left.
     pub(super) rejected_with_quota_left: u64,
     pub(super) timed_out: u64,
     pub(super) failed: u64,
     pub(super) client_disconnected: u64,
-    /// Not answered by the client's deadline.
-    pub(super) unanswered: u64,
+    /// Not completed by the client's deadline.
+    pub(super) incomplete_at_deadline: u64,
     pub(super) open_at_end: u64,
     pub(super) forwarded: u64,
     forwarded_ended: u64,
@@ -61,8 +81,8 @@
     /// Forwarded to another zone, of the same region or another.
     pub(super) cross_zone: u64,
     pub(super) cross_region: u64,
-    /// Answers to requests that had one, with those of the warm-up.
-    pub(super) duplicate_answers: u64,
+    /// Completions of client attempts that had one, with those of the warm-up.
+    pub(super) duplicate_completions: u64,
     /// Actions that a host cannot perform, with those of the warm-up.
     pub(super) invalid_actions: u64,
     /// Forwarded to a draining endpoint after its grace, with those of the warm-up.
@@ -85,19 +105,19 @@
             served: 0,
             late: 0,
             over_quota: 0,
-            rejected: [0; REJECTION_REASONS],
+            rejected: [0; RejectionReason::COUNT],
             rejected_with_quota_left: 0,
             timed_out: 0,
             failed: 0,
             client_disconnected: 0,
-            unanswered: 0,
+            incomplete_at_deadline: 0,
             open_at_end: 0,
             forwarded: 0,
             forwarded_ended: 0,
             handshakes: 0,
             cross_zone: 0,
             cross_region: 0,
-            duplicate_answers: 0,
+            duplicate_completions: 0,
             invalid_actions: 0,
             sent_after_drain: 0,
             unaccounted: 0,
@@ -106,19 +126,18 @@
         }
     }
 
-    pub(crate) fn record_offered(&mut self, counted: bool, retries: u32) {
+    pub(crate) fn record_offered(&mut self, request: &ClientRequest) {
         self.offered_with_warm_up += 1;
-        if counted {
+        if request.counted {
             self.offered += 1;
-            self.first_attempts += u64::from(retries == 0);
+            self.first_attempts += u64::from(request.retries == 0);
         }
     }
 
-    pub(crate) fn record_failed(&mut self, timed_out: bool) {
-        if timed_out {
-            self.timed_out += 1;
-        } else {
-            self.failed += 1;
+    pub(crate) fn record_failed(&mut self, cause: FailureCause) {
+        match cause {
+            FailureCause::TimedOut => self.timed_out += 1,
+            FailureCause::Other => self.failed += 1,
         }
     }
 
@@ -126,9 +145,9 @@
         self.client_disconnected += 1;
     }
 
-    /// Records that the deadline of a client attempt passed without an answer.
-    pub(crate) fn record_unanswered(&mut self) {
-        self.unanswered += 1;
+    /// Records that the deadline of a client attempt passed before its completion.
+    pub(crate) fn record_incomplete_at_deadline(&mut self) {
+        self.incomplete_at_deadline += 1;
     }
 
     pub(crate) fn record_invalid_action(&mut self) {
@@ -139,8 +158,8 @@
         self.sent_after_drain += 1;
     }
 
-    pub(crate) fn record_duplicate_answer(&mut self) {
-        self.duplicate_answers += 1;
+    pub(crate) fn record_duplicate_completion(&mut self) {
+        self.duplicate_completions += 1;
     }
 
     pub(crate) fn record_served(&mut self, attempt: &ServedAttempt) {
@@ -151,15 +170,15 @@
         self.added.saturating_record(attempt.added);
     }
 
-    pub(crate) fn record_rejected(&mut self, reason: RejectionReason, quota_left: bool) {
-        self.rejected[reason as usize] += 1;
-        self.rejected_with_quota_left += u64::from(quota_left);
+    pub(crate) fn record_rejected(&mut self, attempt: &RejectedAttempt) {
+        self.rejected[attempt.reason as usize] += 1;
+        self.rejected_with_quota_left += u64::from(attempt.over_half_burst_left);
     }
 
     /// Records that a gateway forwarded an attempt over a connection.
     pub(crate) fn record_forwarded(&mut self, connection: &Connection) {
         self.forwarded += 1;
-        self.handshakes += u64::from(connection.is_new);
+        self.handshakes += u64::from(connection.origin == ConnectionOrigin::New);
         self.cross_zone += u64::from(connection.crosses_zones);
         self.cross_region += u64::from(connection.crosses_regions);
     }
