--- a/fleet/src/slopes/fit.rs
+++ b/fleet/src/slopes/fit.rs
@@ -81,7 +81,7 @@
     pub(super) limit: f64,
 }
 
-/// A [`Limit`], and whether it is met.
+/// A limit of a figure, and whether it is met.
 #[derive(Clone, Debug, Serialize)]
 pub struct Requirement {
     /// In words.
--- a/gateway/tests/common/clients.rs
+++ b/gateway/tests/common/clients.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 
 /// Asks for the gateway's readiness.
-pub const READINESS_REQUEST: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
+pub(crate) const READINESS_REQUEST: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 /// How long nothing may come after a final response.
 const SILENCE: Duration = Duration::from_millis(300);
 
@@ -16,7 +16,7 @@
 
 /// The request classes of the tests' configuration.
 #[derive(Clone, Copy, Debug)]
-pub enum Class {
+pub(crate) enum Class {
     Idempotent,
     /// Idempotent with an idempotency key.
     WithKey,
@@ -25,7 +25,7 @@
 
 impl Class {
     /// The class's name in the configuration and in paths.
-    pub fn name(self) -> &'static str {
+    pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Idempotent => "read",
             Self::WithKey => "upsert",
@@ -35,7 +35,7 @@
 }
 
 /// Builds a well-formed request with an id of its own.
-pub struct RequestBuilder<'a> {
+pub(crate) struct RequestBuilder<'a> {
     class: Class,
     deadline_ms: u64,
     header_lines: &'a str,
@@ -44,22 +44,22 @@
 
 impl<'a> RequestBuilder<'a> {
     /// A request without a body and with the usual headers.
-    pub fn new(class: Class, deadline_ms: u64) -> Self {
+    pub(crate) fn new(class: Class, deadline_ms: u64) -> Self {
         Self { class, deadline_ms, header_lines: "", body: "" }
     }
 
     /// Adds header lines, each with its line end.
-    pub fn header_lines(self, header_lines: &'a str) -> Self {
+    pub(crate) fn header_lines(self, header_lines: &'a str) -> Self {
         Self { header_lines, ..self }
     }
 
     /// Sets the body.
-    pub fn body(self, body: &'a str) -> Self {
+    pub(crate) fn body(self, body: &'a str) -> Self {
         Self { body, ..self }
     }
 
     /// The text of the request; a new id each time.
-    pub fn build(&self) -> String {
+    pub(crate) fn build(&self) -> String {
         let Self { class, deadline_ms, header_lines, body } = self;
         let id = NEXT_REQUEST_ID.fetch_add(1, SeqCst);
         let method = if matches!(class, Class::Idempotent) { "GET" } else { "POST" };
@@ -80,75 +80,75 @@
 }
 
 /// An idempotent request.
-pub fn idempotent_request(deadline_ms: u64) -> String {
+pub(crate) fn idempotent_request(deadline_ms: u64) -> String {
     RequestBuilder::new(Class::Idempotent, deadline_ms).build()
 }
 
 /// A non-idempotent request with a body of one byte.
-pub fn non_idempotent_request(deadline_ms: u64) -> String {
+pub(crate) fn non_idempotent_request(deadline_ms: u64) -> String {
     RequestBuilder::new(Class::NonIdempotent, deadline_ms).body("b").build()
 }
 
 /// A client with one connection.
-pub struct TestClient {
-    pub stream: BufReader<TcpStream>,
+pub(crate) struct TestClient {
+    pub(crate) stream: BufReader<TcpStream>,
 }
 
 impl TestClient {
     /// A client on a new connection.
-    pub async fn connect(address: SocketAddr) -> Self {
+    pub(crate) async fn connect(address: SocketAddr) -> Self {
         Self::new(TcpStream::connect(address).await.expect("a connection"))
     }
 
     /// A client on an established connection.
-    pub fn new(stream: TcpStream) -> Self {
+    pub(crate) fn new(stream: TcpStream) -> Self {
         Self { stream: BufReader::new(stream) }
     }
 
     /// Writes a text to the connection.
-    pub async fn write(&mut self, text: &str) {
+    pub(crate) async fn write(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).await.expect("written");
     }
 
     /// Reads a response; panics if the connection ends without one.
-    pub async fn read_response(&mut self) -> HttpMessage {
+    pub(crate) async fn read_response(&mut self) -> HttpMessage {
         let response = within_timeout("a response", read_message(&mut self.stream)).await;
         response.expect("a response, not the end of the connection")
     }
 
     /// Sends a request and reads its response.
-    pub async fn request(&mut self, text: &str) -> HttpMessage {
+    pub(crate) async fn request(&mut self, text: &str) -> HttpMessage {
         self.write(text).await;
         self.read_response().await
     }
 
     /// Sends a request on a connection that the gateway may close; `None` where it ends without a response.
-    pub async fn try_request(&mut self, text: &str) -> Option<HttpMessage> {
+    pub(crate) async fn try_request(&mut self, text: &str) -> Option<HttpMessage> {
         self.stream.write_all(text.as_bytes()).await.ok()?;
         self.read_response_or_end().await
     }
 
     /// Reads a response; `None` where the connection ends without one.
-    pub async fn read_response_or_end(&mut self) -> Option<HttpMessage> {
+    pub(crate) async fn read_response_or_end(&mut self) -> Option<HttpMessage> {
         within_timeout("a response or the end", read_message(&mut self.stream)).await
     }
 
     /// Waits until the gateway closes or resets this connection; panics if more data comes before.
-    pub async fn expect_close(&mut self) {
+    pub(crate) async fn expect_close(&mut self) {
         let mut rest = Vec::new();
         let _ = within_timeout("the close", self.stream.read_to_end(&mut rest)).await;
         assert_eq!(String::from_utf8_lossy(&rest), "");
     }
 
     /// Waits until the gateway closes this connection; panics if it resets it or if more data comes before.
-    pub async fn expect_clean_close(&mut self) {
+    pub(crate) async fn expect_clean_close(&mut self) {
         let mut rest = Vec::new();
         within_timeout("the close", self.stream.read_to_end(&mut rest)).await.expect("a clean end");
         assert_eq!(rest, b"");
     }
 
     /// Panics if more data or the end of the connection comes within a while.
-    pub async fn expect_silence(&mut self) {
+    pub(crate) async fn expect_silence(&mut self) {
         let more = tokio::time::timeout(SILENCE, self.stream.fill_buf()).await;
         assert!(more.is_err(), "something came after the final response");
     }
--- a/gateway/tests/common/counter.rs
+++ b/gateway/tests/common/counter.rs
@@ -14,7 +14,7 @@
 
 /// How the counter handles a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CounterBehavior {
+pub(crate) enum CounterBehavior {
     Add,
     AddAndReplyAfter {
         delay_ms: u64,
@@ -40,19 +40,19 @@
 }
 
 /// A counter that records all calls.
-pub struct TestCounter {
-    pub address: SocketAddr,
+pub(crate) struct TestCounter {
+    pub(crate) address: SocketAddr,
     state: Arc<State>,
 }
 
 impl TestCounter {
     /// Starts a counter on a port that the system chooses.
-    pub async fn start(behavior: CounterBehavior) -> Self {
+    pub(crate) async fn start(behavior: CounterBehavior) -> Self {
         Self::serve(TcpListener::bind("127.0.0.1:0").await.expect("a port"), behavior)
     }
 
     /// Starts a counter on a listener.
-    pub fn serve(listener: TcpListener, behavior: CounterBehavior) -> Self {
+    pub(crate) fn serve(listener: TcpListener, behavior: CounterBehavior) -> Self {
         let address = listener.local_addr().expect("an address");
         let state = Arc::new(State {
             entries: Mutex::default(),
@@ -64,22 +64,22 @@
     }
 
     /// Changes how further calls are handled.
-    pub fn set_behavior(&self, behavior: CounterBehavior) {
+    pub(crate) fn set_behavior(&self, behavior: CounterBehavior) {
         *self.state.behavior.lock().expect("lock") = behavior;
     }
 
     /// How many calls have come so far.
-    pub fn call_count(&self) -> u32 {
+    pub(crate) fn call_count(&self) -> u32 {
         self.state.call_count.load(SeqCst)
     }
 
     /// The totals of all keys, in any order.
-    pub fn totals(&self) -> Vec<f64> {
+    pub(crate) fn totals(&self) -> Vec<f64> {
         self.state.entries.lock().expect("lock").values().map(|entry| entry.total).collect()
     }
 
     /// The sum over all keys.
-    pub fn sum(&self) -> f64 {
+    pub(crate) fn sum(&self) -> f64 {
         self.totals().iter().sum()
     }
 }
--- a/gateway/tests/common/disconnects.rs
+++ b/gateway/tests/common/disconnects.rs
@@ -7,11 +7,11 @@
 /// A deadline that no request of a disconnected client reaches.
 const LONG_DEADLINE_MS: u64 = 500_000;
 /// In the path of each request whose client disconnects, and of no other.
-pub const ABANDONED: &str = "abandoned";
+pub(crate) const ABANDONED: &str = "abandoned";
 
 /// How a client ends its connection.
 #[derive(Clone, Copy, Debug)]
-pub enum DisconnectKind {
+pub(crate) enum DisconnectKind {
     Close,
     Reset,
     /// It shuts down its sending side and continues to read.
@@ -19,35 +19,35 @@
 }
 
 /// All kinds.
-pub const DISCONNECT_KINDS: [DisconnectKind; 3] =
+pub(crate) const DISCONNECT_KINDS: [DisconnectKind; 3] =
     [DisconnectKind::Close, DisconnectKind::Reset, DisconnectKind::HalfClose];
 
 impl DisconnectKind {
     /// How the other side's system sees the end.
-    pub fn peer_end(self) -> PeerEnd {
+    pub(crate) fn peer_end(self) -> PeerEnd {
         if matches!(self, Self::Reset) { PeerEnd::Reset } else { PeerEnd::Fin }
     }
 }
 
 /// Which of two events comes first.
 #[derive(Clone, Copy, Debug)]
-pub enum Order {
+pub(crate) enum Order {
     DisconnectFirst,
     ReleaseFirst,
 }
 
 /// How a client disconnects.
-pub struct Disconnect {
-    pub kind: DisconnectKind,
+pub(crate) struct Disconnect {
+    pub(crate) kind: DisconnectKind,
     /// What the client has written behind its request.
-    pub trailing: String,
+    pub(crate) trailing: String,
     /// Whether it disconnects before or after what its request waits for comes.
-    pub order: Order,
+    pub(crate) order: Order,
 }
 
 impl Disconnect {
     /// Each kind with each trailing text, in alternating order.
-    pub fn all() -> Vec<Self> {
+    pub(crate) fn all() -> Vec<Self> {
         let mut all = Vec::new();
         for (n, kind) in DISCONNECT_KINDS.into_iter().enumerate() {
             let pipelined = (0..99).map(|_| abandoned_request()).collect();
@@ -61,28 +61,28 @@
     }
 
     /// For the messages of assertions.
-    pub fn describe(&self) -> String {
+    pub(crate) fn describe(&self) -> String {
         format!("{:?}, {} trailing bytes, {:?}", self.kind, self.trailing.len(), self.order)
     }
 
     /// Ends a client's connection; one that continues to read is handed back.
-    pub fn end(&self, client: TestClient) -> Option<TestClient> {
+    pub(crate) fn end(&self, client: TestClient) -> Option<TestClient> {
         end(client, self.kind)
     }
 
     /// The same, and waits until the other side's system knows.
-    pub async fn end_and_wait(&self, client: TestClient) -> Option<TestClient> {
+    pub(crate) async fn end_and_wait(&self, client: TestClient) -> Option<TestClient> {
         end_and_wait(client, self.kind).await
     }
 
     /// Writes a request and the trailing text.
-    pub async fn send_request(&self, client: &mut TestClient, request: &str) {
+    pub(crate) async fn send_request(&self, client: &mut TestClient, request: &str) {
         client.write(&(request.to_owned() + &self.trailing)).await;
     }
 
     /// While the gateway is suspended the client disconnects and what its request waits for comes: the
     /// gateway finds both in one turn of its event loop.
-    pub async fn cross(
+    pub(crate) async fn cross(
         &self, gateway: &GatewayProcess, client: TestClient, release: impl Future,
     ) -> Option<TestClient> {
         gateway.suspend();
@@ -105,7 +105,7 @@
 }
 
 /// An idempotent request whose path contains [`ABANDONED`].
-pub fn abandoned_request() -> String {
+pub(crate) fn abandoned_request() -> String {
     idempotent_request(LONG_DEADLINE_MS).replace("/a%20b", &format!("/{ABANDONED}"))
 }
 
@@ -121,7 +121,7 @@
 }
 
 /// The same, and waits until the other side's system knows.
-pub async fn end_and_wait(client: TestClient, kind: DisconnectKind) -> Option<TestClient> {
+pub(crate) async fn end_and_wait(client: TestClient, kind: DisconnectKind) -> Option<TestClient> {
     let stream = client.stream.get_ref();
     let local = stream.local_addr().expect("an address");
     let peer = stream.peer_addr().expect("an address");
--- a/gateway/tests/common/discovery.rs
+++ b/gateway/tests/common/discovery.rs
@@ -9,17 +9,17 @@
 use tokio::sync::watch;
 
 /// The entry of an endpoint that may be used.
-pub fn in_service(name: &str, address: SocketAddr) -> String {
+pub(crate) fn in_service(name: &str, address: SocketAddr) -> String {
     entry(name, address, "in_service")
 }
 
 /// The entry of an endpoint that is draining.
-pub fn terminating(name: &str, address: SocketAddr) -> String {
+pub(crate) fn terminating(name: &str, address: SocketAddr) -> String {
     entry(name, address, "terminating")
 }
 
 /// The entry of an endpoint that no longer exists.
-pub fn terminated(name: &str, address: SocketAddr) -> String {
+pub(crate) fn terminated(name: &str, address: SocketAddr) -> String {
     entry(name, address, "terminated")
 }
 
@@ -28,12 +28,12 @@
 }
 
 /// A complete endpoint list.
-pub fn snapshot(version: u64, entries: &[String]) -> String {
+pub(crate) fn snapshot(version: u64, entries: &[String]) -> String {
     format!(r#"{{"seq":{version},"whole":true,"hosts":[{}]}}"#, entries.join(","))
 }
 
 /// The entries of an endpoint list that have changed.
-pub fn delta(version: u64, entries: &[String]) -> String {
+pub(crate) fn delta(version: u64, entries: &[String]) -> String {
     format!(r#"{{"seq":{version},"whole":false,"hosts":[{}]}}"#, entries.join(","))
 }
 
@@ -51,20 +51,20 @@
 type PublishedList = Arc<tokio::sync::Mutex<watch::Receiver<Option<String>>>>;
 
 /// A discovery service that leaves each request open until a list is published, and sends a list once.
-pub struct TestDiscovery {
-    pub address: SocketAddr,
+pub(crate) struct TestDiscovery {
+    pub(crate) address: SocketAddr,
     publisher: watch::Sender<Option<String>>,
     state: Arc<State>,
 }
 
 impl TestDiscovery {
     /// Starts a discovery service on a port that the system chooses.
-    pub async fn start() -> Self {
+    pub(crate) async fn start() -> Self {
         Self::serve(TcpListener::bind("127.0.0.1:0").await.expect("a port"))
     }
 
     /// Starts a discovery service on a listener.
-    pub fn serve(listener: TcpListener) -> Self {
+    pub(crate) fn serve(listener: TcpListener) -> Self {
         let address = listener.local_addr().expect("an address");
         let (publisher, published) = watch::channel(None::<String>);
         let published = Arc::new(tokio::sync::Mutex::new(published));
@@ -74,26 +74,26 @@
     }
 
     /// Sends this text as the response to the open request, or to the next.
-    pub fn publish(&self, text: String) {
+    pub(crate) fn publish(&self, text: String) {
         self.state.list_pending.store(true, SeqCst);
         self.publisher.send_replace(Some(text));
     }
 
     /// Waits until the gateway has processed what was published: it has been sent, and the next request has
     /// come.
-    pub async fn wait_until_processed(&self) {
+    pub(crate) async fn wait_until_processed(&self) {
         let is_processed =
             || !self.state.list_pending.load(SeqCst) && self.state.requests_since_list.load(SeqCst) > 0;
         wait_until("the next request at discovery", is_processed).await;
     }
 
     /// How many requests have come so far.
-    pub fn request_count(&self) -> u32 {
+    pub(crate) fn request_count(&self) -> u32 {
         self.state.request_count.load(SeqCst)
     }
 
     /// The request line of the last request.
-    pub fn last_request_line(&self) -> String {
+    pub(crate) fn last_request_line(&self) -> String {
         self.state.last_request_line.lock().expect("lock").clone()
     }
 }
--- a/gateway/tests/common/endpoints.rs
+++ b/gateway/tests/common/endpoints.rs
@@ -13,15 +13,15 @@
 
 /// A part of a response.
 #[derive(Clone, Debug)]
-pub struct Piece {
+pub(crate) struct Piece {
     /// How long the endpoint waits before it writes the text.
-    pub delay_ms: u64,
-    pub text: &'static str,
+    pub(crate) delay_ms: u64,
+    pub(crate) text: &'static str,
 }
 
 /// What an endpoint does with one request.
 #[derive(Clone, Debug)]
-pub enum ScriptedResponse {
+pub(crate) enum ScriptedResponse {
     Write(String),
     WriteAfter {
         delay_ms: u64,
@@ -42,17 +42,17 @@
 
 impl ScriptedResponse {
     /// A response with status 200 and this body.
-    pub fn ok(body: &str) -> Self {
+    pub(crate) fn ok(body: &str) -> Self {
         Self::Write(super::ok_response(body))
     }
 
     /// The same, after a delay.
-    pub fn ok_after(delay_ms: u64, body: &str) -> Self {
+    pub(crate) fn ok_after(delay_ms: u64, body: &str) -> Self {
         Self::WriteAfter { delay_ms, text: super::ok_response(body) }
     }
 
     /// Closes the connection without a response.
-    pub fn close() -> Self {
+    pub(crate) fn close() -> Self {
         Self::WriteAndClose(String::new())
     }
 }
@@ -72,29 +72,29 @@
 }
 
 /// An endpoint that records each request and sends the responses of its script, the last of them for ever.
-pub struct TestEndpoint {
-    pub address: SocketAddr,
+pub(crate) struct TestEndpoint {
+    pub(crate) address: SocketAddr,
     state: Arc<State>,
 }
 
 impl TestEndpoint {
     /// Starts an endpoint on a port that the system chooses.
-    pub async fn start(script: &[ScriptedResponse]) -> Self {
+    pub(crate) async fn start(script: &[ScriptedResponse]) -> Self {
         Self::serve(TcpListener::bind("127.0.0.1:0").await.expect("a port"), script)
     }
 
     /// Starts an endpoint whose every response is this one.
-    pub async fn responding(response: ScriptedResponse) -> Self {
+    pub(crate) async fn responding(response: ScriptedResponse) -> Self {
         Self::start(&[response]).await
     }
 
     /// Starts an endpoint that responds with status 200 and this body.
-    pub async fn ok(body: &str) -> Self {
+    pub(crate) async fn ok(body: &str) -> Self {
         Self::responding(ScriptedResponse::ok(body)).await
     }
 
     /// Starts an endpoint on a listener.
-    pub fn serve(listener: TcpListener, script: &[ScriptedResponse]) -> Self {
+    pub(crate) fn serve(listener: TcpListener, script: &[ScriptedResponse]) -> Self {
         let address = listener.local_addr().expect("an address");
         let state = Arc::new(State { script: Mutex::new(script.to_vec()), ..State::default() });
         tokio::spawn(state.clone().accept_connections(listener));
@@ -102,39 +102,39 @@
     }
 
     /// Replaces the script.
-    pub fn set_script(&self, script: &[ScriptedResponse]) {
+    pub(crate) fn set_script(&self, script: &[ScriptedResponse]) {
         *self.state.script.lock().expect("lock") = script.to_vec();
     }
 
     /// All requests so far.
-    pub fn requests(&self) -> Vec<HttpMessage> {
+    pub(crate) fn requests(&self) -> Vec<HttpMessage> {
         self.state.requests.lock().expect("lock").clone()
     }
 
     /// How many requests have come so far.
-    pub fn request_count(&self) -> usize {
+    pub(crate) fn request_count(&self) -> usize {
         self.state.requests.lock().expect("lock").len()
     }
 
     /// How many requests have come whose request line contains this text.
-    pub fn requests_containing(&self, text: &str) -> usize {
+    pub(crate) fn requests_containing(&self, text: &str) -> usize {
         let requests = self.state.requests.lock().expect("lock");
         requests.iter().filter(|request| request.start_line.contains(text)).count()
     }
 
     /// Whether the request line of the last request contains this text.
-    pub fn last_request_contains(&self, text: &str) -> bool {
+    pub(crate) fn last_request_contains(&self, text: &str) -> bool {
         let requests = self.state.requests.lock().expect("lock");
         requests.last().is_some_and(|request| request.start_line.contains(text))
     }
 
     /// How many connections have been accepted.
-    pub fn connections_opened(&self) -> u32 {
+    pub(crate) fn connections_opened(&self) -> u32 {
         self.state.connections_opened.load(SeqCst)
     }
 
     /// How many connections have ended.
-    pub fn connections_closed(&self) -> u32 {
+    pub(crate) fn connections_closed(&self) -> u32 {
         self.state.connections_closed.load(SeqCst)
     }
 }
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -16,40 +16,40 @@
 
 /// A text of the configuration that is replaced by another.
 #[derive(Clone, Debug)]
-pub struct ConfigEdit {
+pub(crate) struct ConfigEdit {
     old: String,
     new: String,
 }
 
 impl ConfigEdit {
     /// `old` must be part of the configuration.
-    pub fn new(old: impl ToString, new: impl ToString) -> Self {
+    pub(crate) fn new(old: impl ToString, new: impl ToString) -> Self {
         Self { old: old.to_string(), new: new.to_string() }
     }
 }
 
 /// How a gateway's configuration differs from the usual one.
-pub struct GatewayOptions {
+pub(crate) struct GatewayOptions {
     /// Units per second of the tenants' plan.
-    pub refill_rate: f64,
+    pub(crate) refill_rate: f64,
     /// Units of the tenants' plan at most.
-    pub burst: f64,
-    pub gateway_count: u32,
-    pub gateway_index: u32,
+    pub(crate) burst: f64,
+    pub(crate) gateway_count: u32,
+    pub(crate) gateway_index: u32,
     /// The endpoint list that the gateway starts with.
-    pub cached_endpoints: String,
+    pub(crate) cached_endpoints: String,
     /// The limit of open descriptors.
-    pub max_sockets: usize,
+    pub(crate) max_sockets: usize,
     /// How long slow start may last, in milliseconds; ejections last for a fraction of it.
-    pub slow_start_ms: u64,
-    pub config_edits: Vec<ConfigEdit>,
+    pub(crate) slow_start_ms: u64,
+    pub(crate) config_edits: Vec<ConfigEdit>,
     /// Which system calls of the gateway fail, in the syntax of the package `fault-injection`.
-    pub system_call_faults: String,
+    pub(crate) system_call_faults: String,
 }
 
 impl GatewayOptions {
     /// The usual options, with these entries of the endpoint list cached.
-    pub fn with_entries(entries: &[String]) -> Self {
+    pub(crate) fn with_entries(entries: &[String]) -> Self {
         Self {
             refill_rate: 500.0,
             burst: 1000.0,
@@ -64,18 +64,18 @@
     }
 
     /// The same, with one endpoint named `b`.
-    pub fn with_endpoint(address: SocketAddr) -> Self {
+    pub(crate) fn with_endpoint(address: SocketAddr) -> Self {
         Self::with_entries(&[in_service("b", address)])
     }
 
     /// The same, with system calls that fail.
-    pub fn with_faults(self, faults: &str) -> Self {
+    pub(crate) fn with_faults(self, faults: &str) -> Self {
         Self { system_call_faults: faults.to_owned(), ..self }
     }
 
     /// The same, with latency objectives and timeouts of the counter and of connection attempts so long that
     /// requests wait for quota, endpoint and response.
-    pub fn with_long_timeouts(self, ms: u64) -> Self {
+    pub(crate) fn with_long_timeouts(self, ms: u64) -> Self {
         let config_edits = vec![
             ConfigEdit::new(r#""goal-time-ms":800"#, format!(r#""goal-time-ms":{ms}"#)),
             ConfigEdit::new(r#""count-limit-ms":50"#, format!(r#""count-limit-ms":{ms}"#)),
@@ -136,8 +136,8 @@
 }
 
 /// A running gateway.
-pub struct GatewayProcess {
-    pub address: SocketAddr,
+pub(crate) struct GatewayProcess {
+    pub(crate) address: SocketAddr,
     child: Child,
     config_file: PathBuf,
     config_text: String,
@@ -147,7 +147,7 @@
 
 impl GatewayProcess {
     /// Starts a gateway and waits until it listens.
-    pub async fn start(discovery: SocketAddr, counter: SocketAddr, options: &GatewayOptions) -> Self {
+    pub(crate) async fn start(discovery: SocketAddr, counter: SocketAddr, options: &GatewayOptions) -> Self {
         let config_text = options.config_text(discovery, counter);
         let file_number = NEXT_CONFIG_FILE.fetch_add(1, SeqCst);
         let file_name = format!("ryefront-gateway-{}-{file_number}.json", std::process::id());
@@ -169,33 +169,33 @@
     }
 
     /// A client with a new connection.
-    pub async fn client(&self) -> TestClient {
+    pub(crate) async fn client(&self) -> TestClient {
         TestClient::connect(self.address).await
     }
 
     /// Sends a request on a new connection and reads its response.
-    pub async fn request(&self, text: &str) -> HttpMessage {
+    pub(crate) async fn request(&self, text: &str) -> HttpMessage {
         self.client().await.request(text).await
     }
 
     /// How many lines of the log start with this prefix.
-    pub fn count_log_lines(&self, prefix: &str) -> usize {
+    pub(crate) fn count_log_lines(&self, prefix: &str) -> usize {
         self.log.lock().expect("lock").iter().filter(|line| line.starts_with(prefix)).count()
     }
 
     /// Closes the reading end of the log, so that the gateway's writes to it fail from now on.
-    pub async fn close_log(&mut self) {
+    pub(crate) async fn close_log(&mut self) {
         self.log_reader.abort();
         let _ = (&mut self.log_reader).await;
     }
 
     /// Rewrites the configuration file from the text the gateway was started with, without a signal.
-    pub fn write_config(&self, edit: impl Fn(&str) -> String) {
+    pub(crate) fn write_config(&self, edit: impl Fn(&str) -> String) {
         std::fs::write(&self.config_file, edit(&self.config_text)).expect("a file");
     }
 
     /// Rewrites the configuration file, sends SIGHUP, and waits until the gateway has logged the result.
-    pub async fn reconfigure(&mut self, edits: &[ConfigEdit]) {
+    pub(crate) async fn reconfigure(&mut self, edits: &[ConfigEdit]) {
         self.write_config(|text| {
             edits.iter().fold(text.to_owned(), |text, edit| text.replace(&edit.old, &edit.new))
         });
@@ -206,22 +206,22 @@
     }
 
     /// Sends the signal at which the gateway reads its configuration again.
-    pub fn send_sighup(&self) {
+    pub(crate) fn send_sighup(&self) {
         self.send_signal("-HUP");
     }
 
     /// Sends the signal that starts a graceful shutdown.
-    pub fn send_sigterm(&self) {
+    pub(crate) fn send_sigterm(&self) {
         self.send_signal("-TERM");
     }
 
     /// Suspends the process; it processes what happens until [`Self::resume`] in one turn of its event loop.
-    pub fn suspend(&self) {
+    pub(crate) fn suspend(&self) {
         self.send_signal("-STOP");
     }
 
     /// Continues a suspended process.
-    pub fn resume(&self) {
+    pub(crate) fn resume(&self) {
         self.send_signal("-CONT");
     }
 
@@ -232,13 +232,13 @@
     }
 
     /// How many descriptors the process has open.
-    pub fn open_descriptors(&self) -> usize {
+    pub(crate) fn open_descriptors(&self) -> usize {
         let id = self.child.id().expect("a process");
         std::fs::read_dir(format!("/proc/{id}/fd")).expect("its descriptors").count()
     }
 
     /// The resident memory of the process, in KiB.
-    pub fn resident_memory_kib(&self) -> u64 {
+    pub(crate) fn resident_memory_kib(&self) -> u64 {
         let id = self.child.id().expect("a process");
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).expect("its status");
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("its memory");
@@ -246,7 +246,7 @@
     }
 
     /// Waits until draining has begun, which is a moment after the signal: the readiness check fails.
-    pub async fn wait_until_draining(&self) {
+    pub(crate) async fn wait_until_draining(&self) {
         within_timeout("draining", async {
             loop {
                 let response = self.request(READINESS_REQUEST).await;
@@ -259,12 +259,12 @@
     }
 
     /// Waits until the process has ended.
-    pub async fn wait_for_exit(&mut self) -> ExitStatus {
+    pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
         within_timeout("the gateway's exit", self.child.wait()).await.expect("a status")
     }
 
     /// Waits until the process has ended; panics unless its exit code is 0.
-    pub async fn expect_clean_exit(&mut self) {
+    pub(crate) async fn expect_clean_exit(&mut self) {
         assert_eq!(self.wait_for_exit().await.code(), Some(0));
     }
 }
@@ -276,15 +276,15 @@
 }
 
 /// A gateway with a discovery service that has published nothing yet and a counter.
-pub struct TestEnvironment {
-    pub gateway: GatewayProcess,
-    pub discovery: TestDiscovery,
-    pub counter: TestCounter,
+pub(crate) struct TestEnvironment {
+    pub(crate) gateway: GatewayProcess,
+    pub(crate) discovery: TestDiscovery,
+    pub(crate) counter: TestCounter,
 }
 
 impl TestEnvironment {
     /// With these endpoints in service, named `b0`, `b1` and so on, and a counter that works.
-    pub async fn with_endpoints(endpoints: &[&TestEndpoint]) -> Self {
+    pub(crate) async fn with_endpoints(endpoints: &[&TestEndpoint]) -> Self {
         let named = endpoints.iter().enumerate();
         let entries: Vec<_> =
             named.map(|(n, endpoint)| in_service(&format!("b{n}"), endpoint.address)).collect();
@@ -292,7 +292,7 @@
     }
 
     /// With these options and a counter that behaves so.
-    pub async fn start(options: &GatewayOptions, behavior: CounterBehavior) -> Self {
+    pub(crate) async fn start(options: &GatewayOptions, behavior: CounterBehavior) -> Self {
         let discovery = TestDiscovery::start().await;
         let counter = TestCounter::start(behavior).await;
         let gateway = GatewayProcess::start(discovery.address, counter.address, options).await;
--- a/gateway/tests/common/http.rs
+++ b/gateway/tests/common/http.rs
@@ -6,23 +6,23 @@
 
 /// A request or a response.
 #[derive(Clone, Debug)]
-pub struct HttpMessage {
+pub(crate) struct HttpMessage {
     /// The request line or the status line.
-    pub start_line: String,
+    pub(crate) start_line: String,
     /// Values by header name in lower case.
-    pub headers: HashMap<String, String>,
-    pub body: Vec<u8>,
+    pub(crate) headers: HashMap<String, String>,
+    pub(crate) body: Vec<u8>,
 }
 
 impl HttpMessage {
     /// The status code of a response.
-    pub fn status(&self) -> u16 {
+    pub(crate) fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
     }
 }
 
 /// Reads one message; `None` at the end of the connection.
-pub async fn read_message(stream: &mut BufReader<TcpStream>) -> Option<HttpMessage> {
+pub(crate) async fn read_message(stream: &mut BufReader<TcpStream>) -> Option<HttpMessage> {
     let mut start_line = String::new();
     if stream.read_line(&mut start_line).await.ok()? == 0 {
         return None;
@@ -45,6 +45,6 @@
 }
 
 /// A response with status 200 and this body.
-pub fn ok_response(body: &str) -> String {
+pub(crate) fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -7,7 +7,7 @@
 
 mod clients;
 mod counter;
-pub mod disconnects;
+pub(crate) mod disconnects;
 mod discovery;
 mod endpoints;
 mod gateway;
@@ -15,15 +15,15 @@
 mod sockets;
 mod wait;
 
-pub use clients::{
+pub(crate) use clients::{
     Class, READINESS_REQUEST, RequestBuilder, TestClient, idempotent_request, non_idempotent_request,
 };
-pub use counter::{CounterBehavior, TestCounter};
-pub use discovery::{TestDiscovery, delta, in_service, snapshot, terminated, terminating};
-pub use endpoints::{Piece, ScriptedResponse, TestEndpoint};
-pub use gateway::{ConfigEdit, GatewayOptions, GatewayProcess, TestEnvironment};
-pub use http::{HttpMessage, ok_response, read_message};
-pub use sockets::{
+pub(crate) use counter::{CounterBehavior, TestCounter};
+pub(crate) use discovery::{TestDiscovery, delta, in_service, snapshot, terminated, terminating};
+pub(crate) use endpoints::{Piece, ScriptedResponse, TestEndpoint};
+pub(crate) use gateway::{ConfigEdit, GatewayOptions, GatewayProcess, TestEnvironment};
+pub(crate) use http::{HttpMessage, ok_response, read_message};
+pub(crate) use sockets::{
     FullBacklog, LateConnections, PeerEnd, RefusingPort, wait_for_connection_attempt, wait_for_peer_end,
 };
-pub use wait::{TIMEOUT, sleep_ms, wait_until, within_timeout};
+pub(crate) use wait::{TIMEOUT, sleep_ms, wait_until, within_timeout};
--- a/gateway/tests/common/sockets.rs
+++ b/gateway/tests/common/sockets.rs
@@ -45,7 +45,7 @@
 
 /// How a peer ends its side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum PeerEnd {
+pub(crate) enum PeerEnd {
     /// With a FIN, after which the connection is in `CLOSE_WAIT`.
     Fin,
     /// With a RST, which leaves no trace.
@@ -55,7 +55,7 @@
 /// Waits until the end of a connection has reached the socket at `local`, whose peer is `peer`: on a busy
 /// machine that takes a while, also over loopback. A reset shows only as a connection that is missing check
 /// after check.
-pub async fn wait_for_peer_end(local: SocketAddr, peer: SocketAddr, end: PeerEnd) {
+pub(crate) async fn wait_for_peer_end(local: SocketAddr, peer: SocketAddr, end: PeerEnd) {
     let missing = AtomicU32::new(0);
     wait_until("the end of the connection", || {
         if has_connection(TcpState::Established, Some(local.port()), peer.port()) {
@@ -69,19 +69,19 @@
 }
 
 /// Waits until a connection attempt to an address with a full backlog is under way.
-pub async fn wait_for_connection_attempt(to: SocketAddr) {
+pub(crate) async fn wait_for_connection_attempt(to: SocketAddr) {
     wait_until("a connection attempt", || has_connection(TcpState::SynSent, None, to.port())).await;
 }
 
 /// A port that is bound but not listened at: it refuses connections, and no other process can bind it.
-pub struct RefusingPort {
-    pub address: SocketAddr,
+pub(crate) struct RefusingPort {
+    pub(crate) address: SocketAddr,
     socket: TcpSocket,
 }
 
 impl RefusingPort {
     /// Binds a port that the system chooses.
-    pub fn bind() -> Self {
+    pub(crate) fn bind() -> Self {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let address = socket.local_addr().expect("an address");
@@ -89,21 +89,21 @@
     }
 
     /// Accepts connections from now on.
-    pub fn listen(self, backlog: u32) -> TcpListener {
+    pub(crate) fn listen(self, backlog: u32) -> TcpListener {
         self.socket.listen(backlog).expect("a listener")
     }
 }
 
 /// A listener whose backlog is full: further connections are not established until [`Self::accept_all`].
-pub struct FullBacklog {
-    pub address: SocketAddr,
+pub(crate) struct FullBacklog {
+    pub(crate) address: SocketAddr,
     listener: TcpListener,
     waiting: Vec<TcpStream>,
 }
 
 impl FullBacklog {
     /// Listens, and connects until the backlog is full.
-    pub async fn start() -> Self {
+    pub(crate) async fn start() -> Self {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("bound");
         let listener = socket.listen(1).expect("listening");
@@ -117,7 +117,7 @@
     }
 
     /// Frees the backlog, and responds to all requests on the connections that are established then.
-    pub fn accept_all(self) -> LateConnections {
+    pub(crate) fn accept_all(self) -> LateConnections {
         let state = Arc::<LateState>::default();
         let own: Vec<_> = self.waiting.iter().filter_map(|stream| stream.local_addr().ok()).collect();
         drop(self.waiting);
@@ -134,24 +134,24 @@
 }
 
 /// Connections that were established once a full backlog was freed, without those that had filled it.
-pub struct LateConnections {
+pub(crate) struct LateConnections {
     state: Arc<LateState>,
 }
 
 impl LateConnections {
     /// Waits until at least `count` have been established.
-    pub async fn wait_until_opened(&self, count: usize) {
+    pub(crate) async fn wait_until_opened(&self, count: usize) {
         wait_until("late connections", || self.state.opened.load(SeqCst) >= count).await;
     }
 
     /// Waits until all that were established have been closed by the peer.
-    pub async fn wait_until_all_ended(&self) {
+    pub(crate) async fn wait_until_all_ended(&self) {
         let all_ended = || self.state.opened.load(SeqCst) == self.state.ended.load(SeqCst);
         wait_until("the end of the late connections", all_ended).await;
     }
 
     /// The request lines of all requests that came.
-    pub fn request_lines(&self) -> Vec<String> {
+    pub(crate) fn request_lines(&self) -> Vec<String> {
         self.state.request_lines.lock().expect("lock").clone()
     }
 }
--- a/gateway/tests/common/wait.rs
+++ b/gateway/tests/common/wait.rs
@@ -3,17 +3,17 @@
 use std::time::Duration;
 
 /// How long a test waits for an event: far longer than any takes on a busy machine.
-pub const TIMEOUT: Duration = Duration::from_secs(60);
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The result of `future`; panics with `description` if [`TIMEOUT`] passes first.
-pub async fn within_timeout<T>(description: &str, future: impl Future<Output = T>) -> T {
+pub(crate) async fn within_timeout<T>(description: &str, future: impl Future<Output = T>) -> T {
     let Ok(value) = tokio::time::timeout(TIMEOUT, future).await else { panic!("timed out: {description}") };
     value
 }
 
 /// Polls `condition` until it holds; panics with `description` if [`TIMEOUT`] passes first.
-pub async fn wait_until(description: &str, condition: impl Fn() -> bool) {
+pub(crate) async fn wait_until(description: &str, condition: impl Fn() -> bool) {
     within_timeout(description, async {
         while !condition() {
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -23,6 +23,6 @@
 }
 
 /// Sleeps for `ms` milliseconds.
-pub async fn sleep_ms(ms: u64) {
+pub(crate) async fn sleep_ms(ms: u64) {
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
--- a/gateway/tests/graceful_shutdown/load.rs
+++ b/gateway/tests/graceful_shutdown/load.rs
@@ -15,11 +15,11 @@
 /// connection is not seen before the kill.
 const LAST_SEND_BEFORE_KILL: Duration = Duration::from_millis(5);
 /// How long clients send requests before SIGTERM.
-pub const LOAD_BEFORE_SIGTERM: Duration = Duration::from_millis(400);
+pub(crate) const LOAD_BEFORE_SIGTERM: Duration = Duration::from_millis(400);
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Outcome {
+pub(crate) enum Outcome {
     Answered,
     /// A connection kept from an earlier request was closed without a response: the client sends the request
     /// again.
@@ -32,23 +32,23 @@
 
 /// What kind of connection a request was sent on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Connection {
+pub(crate) enum Connection {
     New,
     Reused,
 }
 
 /// A request that a client sent.
-pub struct SentRequest {
-    pub id: String,
-    pub before_kill: Duration,
-    pub connection: Connection,
-    pub outcome: Outcome,
+pub(crate) struct SentRequest {
+    pub(crate) id: String,
+    pub(crate) before_kill: Duration,
+    pub(crate) connection: Connection,
+    pub(crate) outcome: Outcome,
 }
 
 /// The requests of all clients of a scenario.
 #[derive(Default)]
-pub struct RequestLog {
-    pub requests: Mutex<Vec<SentRequest>>,
+pub(crate) struct RequestLog {
+    pub(crate) requests: Mutex<Vec<SentRequest>>,
 }
 
 impl RequestLog {
@@ -57,25 +57,25 @@
     }
 
     /// The number of requests.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.requests.lock().expect("lock").len()
     }
 
     /// The number of requests that ended so.
-    pub fn count(&self, outcome: Outcome) -> usize {
+    pub(crate) fn count(&self, outcome: Outcome) -> usize {
         self.requests.lock().expect("lock").iter().filter(|request| request.outcome == outcome).count()
     }
 }
 
 /// What the clients of a scenario have in common.
 #[derive(Clone)]
-pub struct Load {
-    pub gateway: SocketAddr,
-    pub log: Arc<RequestLog>,
-    pub deadline: Duration,
+pub(crate) struct Load {
+    pub(crate) gateway: SocketAddr,
+    pub(crate) log: Arc<RequestLog>,
+    pub(crate) deadline: Duration,
     /// No new connections from then on.
-    pub last_arrival: Instant,
-    pub kill: Instant,
+    pub(crate) last_arrival: Instant,
+    pub(crate) kill: Instant,
 }
 
 impl Load {
@@ -158,7 +158,7 @@
     }
 
     /// Starts all clients of a scenario: the active ones at once, the others one after another.
-    pub fn start_clients(&self, scenario: &Scenario) -> Vec<JoinHandle<()>> {
+    pub(crate) fn start_clients(&self, scenario: &Scenario) -> Vec<JoinHandle<()>> {
         let mut clients = Vec::new();
         for n in 0..scenario.active_clients + scenario.idle_clients {
             let random = Rng::with_seed(scenario.seed * 1000 + n as u64);
--- a/gateway/tests/graceful_shutdown/scenario.rs
+++ b/gateway/tests/graceful_shutdown/scenario.rs
@@ -11,43 +11,43 @@
 
 /// A signal that a gateway handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Signal {
+pub(crate) enum Signal {
     Hangup,
     Terminate,
 }
 
 /// A signal after the first SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LaterSignal {
-    pub after: Duration,
-    pub signal: Signal,
+pub(crate) struct LaterSignal {
+    pub(crate) after: Duration,
+    pub(crate) signal: Signal,
 }
 
 /// What one seed draws.
 #[derive(Debug)]
-pub struct Scenario {
-    pub seed: u64,
-    pub deadline: Duration,
+pub(crate) struct Scenario {
+    pub(crate) seed: u64,
+    pub(crate) deadline: Duration,
     /// Clients that send one request after another.
-    pub active_clients: usize,
+    pub(crate) active_clients: usize,
     /// Clients that send one request and stay connected, some of which connect while the gateway drains.
-    pub idle_clients: usize,
-    pub max_sockets: usize,
-    pub endpoint_count: usize,
+    pub(crate) idle_clients: usize,
+    pub(crate) max_sockets: usize,
+    pub(crate) endpoint_count: usize,
     /// How many of the endpoints don't respond from SIGTERM on.
-    pub unresponsive_endpoints: usize,
+    pub(crate) unresponsive_endpoints: usize,
     /// Responses take up to this fraction of the deadline.
-    pub slowness: f64,
+    pub(crate) slowness: f64,
     /// New connections go on coming for this long after SIGTERM.
-    pub arrivals_after_sigterm: Duration,
-    pub signals: Vec<LaterSignal>,
-    pub counter: CounterBehavior,
-    pub system_call_faults: String,
+    pub(crate) arrivals_after_sigterm: Duration,
+    pub(crate) signals: Vec<LaterSignal>,
+    pub(crate) counter: CounterBehavior,
+    pub(crate) system_call_faults: String,
 }
 
 impl Scenario {
     /// The scenario of a seed; the order of the draws decides what a seed plays.
-    pub fn draw(seed: u64) -> Self {
+    pub(crate) fn draw(seed: u64) -> Self {
         let mut random = Rng::with_seed(seed);
         let idle_clients = if random.u8(0..3) == 0 { random.usize(20..60) } else { 0 };
         let endpoint_count = random.usize(2..6);
@@ -76,7 +76,7 @@
     }
 
     /// How long after SIGTERM SIGKILL may come.
-    pub fn kill_after(&self) -> Duration {
+    pub(crate) fn kill_after(&self) -> Duration {
         self.deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE
     }
 }
