--- a/gateway/src/client/connection.rs
+++ b/gateway/src/client/connection.rs
@@ -1,10 +1,10 @@
 //! Serves one client connection until the client closes it, a timeout, the eviction, or the shutdown.
 
 use crate::client::connection_state::ConnectionState;
-use crate::client::instrumented_stream::InstrumentedStream;
 use crate::client::request_head::MAX_HEAD_BYTES;
 use crate::client::response::HttpResponse;
 use crate::client::shutdown::{CloseSignal, LINGER};
+use crate::instrumented_stream::InstrumentedStream;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -44,11 +44,12 @@
         let response = handle(request);
         async { Ok::<_, Infallible>(response.await) }
     });
+    let stream = InstrumentedStream::new(state.socket().clone(), state.clone());
     let http = http1::Builder::new()
         // `ConnectionState` limits the time for head and body together.
         .header_read_timeout(None)
         .max_buf_size(MAX_HEAD_BYTES)
-        .serve_connection(TokioIo::new(InstrumentedStream::new(state.clone())), service);
+        .serve_connection(TokioIo::new(stream), service);
     let mut http = pin!(http);
     match close_reason(http.as_mut(), state, &mut close_signal).await {
         CloseReason::Closed | CloseReason::RequestTimeout => {}
@@ -100,7 +101,7 @@
     fn graceful_shutdown(self: Pin<&mut Self>);
 }
 
-impl<S> HttpConnection for http1::Connection<TokioIo<InstrumentedStream>, S>
+impl<S> HttpConnection for http1::Connection<TokioIo<InstrumentedStream<ConnectionState>>, S>
 where
     S: HttpService<Incoming, ResBody = Full<Bytes>, Error = Infallible>,
 {
--- a/gateway/src/client/connection_state.rs
+++ b/gateway/src/client/connection_state.rs
@@ -1,6 +1,7 @@
-//! What is known of one client connection while it is open.
+//! The state of one client connection while it is open.
 
 use crate::client::request_head::RequestHead;
+use crate::instrumented_stream::StreamObserver;
 use crate::socket::SharedStream;
 use hyper::Request;
 use hyper::body::Incoming;
@@ -76,18 +77,6 @@
         start + REQUEST_TIMEOUT
     }
 
-    /// Records bytes that were received.
-    pub(super) fn record_received(&self, bytes: &[u8]) {
-        let mut head = self.head.borrow_mut();
-        if !self.is_idle() || bytes.is_empty() || head.is_complete() {
-            return;
-        }
-        if head.is_empty() && self.is_answered() {
-            self.idle_since.set(Instant::now());
-        }
-        head.append(bytes);
-    }
-
     /// Records that a request is complete and valid.
     pub(super) fn record_request(&self) {
         self.busy.set(true);
@@ -122,3 +111,16 @@
         self.eviction.notified().await;
     }
 }
+
+impl StreamObserver for ConnectionState {
+    fn record_read(&self, bytes: &[u8]) {
+        let mut head = self.head.borrow_mut();
+        if !self.is_idle() || bytes.is_empty() || head.is_complete() {
+            return;
+        }
+        if head.is_empty() && self.is_answered() {
+            self.idle_since.set(Instant::now());
+        }
+        head.append(bytes);
+    }
+}
--- a/gateway/src/client/mod.rs
+++ b/gateway/src/client/mod.rs
@@ -2,8 +2,8 @@
 //! gracefully.
 //!
 //! In reading order: `server` joins the parts; `listener` accepts connections, and `connection_table` limits
-//! their number and evicts idle ones; `connection` serves one of them, with `connection_state`,
-//! `instrumented_stream` and `request_head` for what is known of it; `handler` answers one request, which
+//! their number and evicts idle ones; `connection` serves one of them, with `connection_state` and
+//! `request_head` for its state; `handler` answers one request, which
 //! `request` parses and validates and for which `response` gets the final answer; `shutdown` ends all of it
 //! step by step.
 
@@ -11,7 +11,6 @@
 mod connection_state;
 mod connection_table;
 mod handler;
-mod instrumented_stream;
 mod listener;
 mod request;
 mod request_head;
--- a/gateway/src/http_connection/instrumented_stream.rs
+++ b/gateway/src/http_connection/exchange_state.rs
@@ -1,19 +1,14 @@
-//! The socket as the HTTP library sees it, recording the progress of the current exchange.
+//! The progress of the current exchange on a connection.
 //!
 //! The HTTP library reports an error without saying how much of the request was written or whether a response
-//! had begun. Both decide whether a request may be retried, so they are recorded here, from the bytes
+//! had begun. Both decide whether a request may be retried, so they are recorded from the bytes
 //! themselves.
 
 use crate::headers::HEAD_END;
 use crate::http_connection::error::ExchangeError;
-use crate::socket::SharedStream;
+use crate::instrumented_stream::StreamObserver;
 use std::cell::{Cell, RefCell};
-use std::io;
-use std::pin::Pin;
-use std::rc::Rc;
-use std::task::{Context, Poll, ready};
 use std::time::Duration;
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
@@ -35,7 +30,7 @@
     Complete,
 }
 
-/// What the stream has recorded of the current exchange.
+/// The progress of the current exchange, recorded by the stream.
 #[derive(Default)]
 pub(super) struct ExchangeState {
     write_progress: Cell<WriteProgress>,
@@ -92,7 +87,9 @@
             std::future::pending().await
         }
     }
+}
 
+impl StreamObserver for ExchangeState {
     fn record_read(&self, bytes: &[u8]) {
         if bytes.is_empty() || self.is_final.get() {
             return;
@@ -122,6 +119,9 @@
         }
     }
 
+    /// The HTTP library flushes once everything it holds has been written, and it holds complete requests, as
+    /// their bodies are in memory. It does so in the same poll as the last write, so nothing comes between
+    /// the two.
     fn record_flush(&self) {
         if self.write_progress.get() == WriteProgress::Partial {
             self.write_progress.set(WriteProgress::Complete);
@@ -143,57 +143,3 @@
     let compared = bytes.len().min(INTERIM_PREFIX.len());
     bytes[..compared] == INTERIM_PREFIX[..compared] && bytes.len() <= MAX_HEAD_BYTES
 }
-
-/// A socket that records the progress of exchanges.
-pub(super) struct InstrumentedStream {
-    socket: SharedStream,
-    state: Rc<ExchangeState>,
-}
-
-impl InstrumentedStream {
-    /// Records in `state` what passes through the socket.
-    pub(super) fn new(socket: SharedStream, state: Rc<ExchangeState>) -> Self {
-        Self { socket, state }
-    }
-}
-
-impl AsyncRead for InstrumentedStream {
-    fn poll_read(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
-    ) -> Poll<io::Result<()>> {
-        let filled_before = buf.filled().len();
-        ready!(Pin::new(&mut self.socket).poll_read(cx, buf))?;
-        self.state.record_read(&buf.filled()[filled_before..]);
-        Poll::Ready(Ok(()))
-    }
-}
-
-impl AsyncWrite for InstrumentedStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_write_vectored(cx, &[io::IoSlice::new(buf)])
-    }
-
-    fn poll_write_vectored(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>, bufs: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        let written = ready!(Pin::new(&mut self.socket).poll_write_vectored(cx, bufs))?;
-        self.state.record_write(written);
-        Poll::Ready(Ok(written))
-    }
-
-    fn is_write_vectored(&self) -> bool {
-        true
-    }
-
-    /// The HTTP library flushes once everything it holds has been written, and it holds complete requests, as
-    /// their bodies are in memory. It does so in the same poll as the last write, so nothing comes between
-    /// the two.
-    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.state.record_flush();
-        Poll::Ready(Ok(()))
-    }
-
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.socket).poll_shutdown(cx)
-    }
-}
--- a/gateway/src/http_connection/mod.rs
+++ b/gateway/src/http_connection/mod.rs
@@ -4,11 +4,12 @@
 //! twice, and it is closed at the moment it is dropped.
 
 mod error;
-mod instrumented_stream;
+mod exchange_state;
 
 pub use error::ExchangeError;
 
-use crate::http_connection::instrumented_stream::{ExchangeState, InstrumentedStream, MAX_HEAD_BYTES};
+use crate::http_connection::exchange_state::{ExchangeState, MAX_HEAD_BYTES};
+use crate::instrumented_stream::InstrumentedStream;
 use crate::socket::{ConnectError, SharedStream, connect};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -103,7 +104,7 @@
 }
 
 /// The HTTP library's side of the connection; `None` once the connection has ended.
-type Driver = Option<Pin<Box<http1::Connection<TokioIo<InstrumentedStream>, Full<Bytes>>>>>;
+type Driver = Option<Pin<Box<http1::Connection<TokioIo<InstrumentedStream<ExchangeState>>, Full<Bytes>>>>>;
 
 fn poll_driver(driver: &mut Driver, cx: &mut Context<'_>) {
     if driver.as_mut().is_some_and(|connection| connection.as_mut().poll(cx).is_ready()) {
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -17,6 +17,7 @@
 pub mod fleet_clock;
 pub mod headers;
 pub mod http_connection;
+mod instrumented_stream;
 pub mod log;
 pub mod reload;
 mod request_table;
