--- a/fleet/src/endpoint_list.rs
+++ b/fleet/src/endpoint_list.rs
@@ -3,7 +3,7 @@
 
 use ryefront_gateway::discovery::EndpointList as ParsedList;
 pub(crate) use ryefront_gateway::discovery::EndpointListError;
-use ryefront_gateway::endpoint::EndpointRegistry;
+use ryefront_gateway::endpoint::{EndpointRegistry, EndpointSettings};
 use ryefront_policy::{EndpointEntry, Event, LoadReportSource};
 use std::rc::Rc;
 use std::time::Duration;
@@ -49,12 +49,12 @@
 
 impl Registry {
     pub(crate) fn new(idle_timeout: Duration) -> Self {
-        Self(EndpointRegistry::new(
-            Duration::from_secs_f64(CONNECT_TIMEOUT_MS / 1000.0),
-            idle_timeout,
-            LoadReportSource::Responses,
-            FILE_DESCRIPTORS,
-        ))
+        Self(EndpointRegistry::new(EndpointSettings {
+            connect_timeout: Duration::from_secs_f64(CONNECT_TIMEOUT_MS / 1000.0),
+            endpoint_idle_timeout: idle_timeout,
+            load_report_source: LoadReportSource::Responses,
+            max_connections: FILE_DESCRIPTORS,
+        }))
     }
 
     pub(crate) fn apply(&self, list: &EndpointList) {
--- a/gateway/src/client/connection_table.rs
+++ b/gateway/src/client/connection_table.rs
@@ -57,7 +57,7 @@
     }
 
     pub(super) fn remove(&self, connection: &Rc<ConnectionState>) {
-        self.connections.borrow_mut().retain(|c| !Rc::ptr_eq(c, connection));
+        self.connections.borrow_mut().retain(|other| !Rc::ptr_eq(other, connection));
         self.removed.notify_one();
     }
 
@@ -92,13 +92,15 @@
         // New connections are evicted at the limit only: below it the others may all be busy, and the new
         // ones would be the only candidates.
         let spares_new = connections.len() < self.max_connections;
+        let is_candidate = |connection: &&Rc<ConnectionState>| {
+            let is_spared = spares_new && EvictionRank::of(connection, now) == EvictionRank::New;
+            connection.is_idle() && !connection.is_evicted() && !is_spared
+        };
         let candidate = connections
             .iter()
-            .filter(|c| c.is_idle() && !c.is_evicted())
-            .map(|c| (EvictionRank::of(c, now), c))
-            .filter(|(rank, _)| !(spares_new && *rank == EvictionRank::New))
-            .min_by_key(|(rank, c)| (*rank, c.idle_since()));
-        if let Some((_, connection)) = candidate {
+            .filter(is_candidate)
+            .min_by_key(|connection| (EvictionRank::of(connection, now), connection.idle_since()));
+        if let Some(connection) = candidate {
             connection.evict();
         }
     }
--- a/gateway/src/client/handler.rs
+++ b/gateway/src/client/handler.rs
@@ -32,8 +32,8 @@
     Close,
 }
 
-/// A response, and what becomes of the connection after it.
-struct Answer {
+/// A response, and whether the connection is closed after it.
+struct HandledRequest {
     response: HttpResponse,
     persistence: Persistence,
 }
@@ -56,7 +56,7 @@
         &self, request: Request<Incoming>, connection: &ConnectionState,
     ) -> HttpResponse {
         let has_transfer_encoding = request.headers().contains_key(TRANSFER_ENCODING);
-        let Answer { mut response, persistence } = self.respond(request, connection).await;
+        let HandledRequest { mut response, persistence } = self.respond(request, connection).await;
         // A draining or full gateway closes connections so that clients use another one, or leave capacity to
         // others.
         if persistence == Persistence::Close
@@ -70,37 +70,41 @@
         response
     }
 
-    async fn respond(&self, request: Request<Incoming>, connection: &ConnectionState) -> Answer {
+    async fn respond(&self, request: Request<Incoming>, connection: &ConnectionState) -> HandledRequest {
         if request.uri().path() == READINESS_PATH {
             let response = response::readiness(request.method(), self.shutdown.is_draining());
-            return Answer { response, persistence: Persistence::KeepAlive };
+            return HandledRequest { response, persistence: Persistence::KeepAlive };
         }
-        let (request, _id_in_progress) = match self.receive(request, connection).await {
-            Ok(received) => received,
-            // The client may have meant something else by the bytes that follow.
-            Err(error) => {
-                let response = response::invalid_request(error);
-                return Answer { response, persistence: Persistence::Close };
-            }
-        };
+        let ReceivedRequest { request, id_in_progress: _id_in_progress } =
+            match self.receive(request, connection).await {
+                Ok(received) => received,
+                // The client may have meant something else by the bytes that follow.
+                Err(error) => {
+                    let response = response::invalid_request(error);
+                    return HandledRequest { response, persistence: Persistence::Close };
+                }
+            };
         connection.record_request();
         match self.answer_while_connected(request, connection).await {
-            Some(response) => Answer { response, persistence: Persistence::KeepAlive },
-            None => Answer { response: response::client_disconnected(), persistence: Persistence::Close },
+            Some(response) => HandledRequest { response, persistence: Persistence::KeepAlive },
+            None => {
+                let response = response::client_disconnected();
+                HandledRequest { response, persistence: Persistence::Close }
+            }
         }
     }
 
     /// Reads and validates a request, and reserves its id.
     async fn receive(
         &self, request: Request<Incoming>, connection: &ConnectionState,
-    ) -> Result<(ParsedRequest, IdInProgress<'_>), RequestError> {
+    ) -> Result<ReceivedRequest<'_>, RequestError> {
         // Another request could be hidden in the body of this one.
         if request.headers().contains_key(TRANSFER_ENCODING) && !connection.is_plainly_chunked(&request) {
             return Err(RequestError::AmbiguousLength);
         }
         let request = self.parser.parse(request).await?;
-        let id = self.reserve_id(request.forwarded.request_id.clone())?;
-        Ok((request, id))
+        let id_in_progress = self.reserve_id(request.forwarded.request_id.clone())?;
+        Ok(ReceivedRequest { request, id_in_progress })
     }
 
     /// Reserves an id until its request has its final answer: a second request with the same id could get the
@@ -136,6 +140,12 @@
     }
 }
 
+/// A valid request and the reservation of its id.
+struct ReceivedRequest<'a> {
+    request: ParsedRequest,
+    id_in_progress: IdInProgress<'a>,
+}
+
 /// Keeps an id among those in progress until it is dropped.
 struct IdInProgress<'a> {
     ids: &'a RefCell<HashSet<HeaderValue>>,
--- a/gateway/src/client/request.rs
+++ b/gateway/src/client/request.rs
@@ -236,11 +236,14 @@
         let expected = if expected_method == Method::GET { "GET" } else { "POST" };
         return Err(RequestError::WrongMethod { expected });
     }
-    let (is_valid, expected) = match idempotency {
-        Idempotency::Idempotent | Idempotency::NonIdempotent => (key.is_none(), "none for this class"),
-        Idempotency::WithKey => (key.is_some_and(|key| !key.is_empty()), "a key for this class"),
-    };
-    if is_valid { Ok(key) } else { Err(RequestError::InvalidHeader { header: IDEMPOTENCY_KEY, expected }) }
+    let invalid = |expected| RequestError::InvalidHeader { header: IDEMPOTENCY_KEY, expected };
+    match idempotency {
+        Idempotency::Idempotent | Idempotency::NonIdempotent if key.is_some() => {
+            Err(invalid("none for this class"))
+        }
+        Idempotency::WithKey if key.is_none_or(HeaderValue::is_empty) => Err(invalid("a key for this class")),
+        _ => Ok(key),
+    }
 }
 
 fn request_id(headers: &HeaderMap) -> Result<&HeaderValue, RequestError> {
--- a/gateway/src/client/response.rs
+++ b/gateway/src/client/response.rs
@@ -1,9 +1,9 @@
-//! The responses to clients: submits requests to the engine and words their final answers.
+//! The responses to clients: submits requests to the engine and turns their final answers into responses.
 
 use crate::client::request::{ParsedRequest, RequestError};
 use crate::client::shutdown::Shutdown;
 use crate::clock::millis;
-use crate::engine::{Engine, FinalAnswer};
+use crate::engine::{Engine, FinalAnswer, SubmittedRequest};
 use crate::socket::SharedStream;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -12,7 +12,6 @@
 use ryefront_policy::{Arrival, Millis, RequestId};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout_at};
 
 /// A response with a complete body.
@@ -59,16 +58,16 @@
     /// Submits a request and returns its final answer, by its deadline even if the engine has none.
     pub(super) async fn answer(&self, request: ParsedRequest, client: SharedStream) -> HttpResponse {
         let deadlines = Deadlines::new(request.time_to_deadline);
-        let (id, answer) = self.submit(request, client, &deadlines);
-        let submitted = SubmittedRequest { engine: &self.engine, id };
+        let SubmittedRequest { id, final_answer } = self.submit(request, client, &deadlines);
+        let guard = DisconnectOnDrop { engine: &self.engine, id };
         let answer = tokio::select! {
             biased;
-            answer = timeout_at(deadlines.backstop, answer) => answer.ok(),
+            answer = timeout_at(deadlines.backstop, final_answer) => answer.ok(),
             () = self.shutdown.final_answers_due() => None,
         };
-        drop(submitted);
+        drop(guard);
         match answer {
-            Some(Ok(answer)) => final_answer(answer),
+            Some(Ok(answer)) => response_to(answer),
             Some(Err(_)) => failed(),
             None => timed_out(),
         }
@@ -76,7 +75,7 @@
 
     fn submit(
         &self, request: ParsedRequest, client: SharedStream, deadlines: &Deadlines,
-    ) -> (RequestId, oneshot::Receiver<FinalAnswer>) {
+    ) -> SubmittedRequest {
         let ParsedRequest { class, plan, tenant, terms, client_retry, forwarded, .. } = request;
         let time_to_deadline = millis(deadlines.time_for_policy);
         let arrival = |id| Arrival {
@@ -94,20 +93,20 @@
     }
 }
 
-/// A request whose client waits for its final answer. Dropped before that, it reports to the engine that the
-/// client has disconnected; after it, the engine knows no such request and does nothing.
-struct SubmittedRequest<'a> {
+/// Reports to the engine that the client has disconnected, if it is dropped before the final answer. After it
+/// the engine has no such request and does nothing.
+struct DisconnectOnDrop<'a> {
     engine: &'a Engine,
     id: RequestId,
 }
 
-impl Drop for SubmittedRequest<'_> {
+impl Drop for DisconnectOnDrop<'_> {
     fn drop(&mut self) {
         self.engine.client_disconnected(self.id);
     }
 }
 
-fn final_answer(answer: FinalAnswer) -> HttpResponse {
+fn response_to(answer: FinalAnswer) -> HttpResponse {
     match answer {
         FinalAnswer::Served(served) => {
             let mut response = Response::new(Full::new(served.body));
--- a/gateway/src/discovery/endpoint_list.rs
+++ b/gateway/src/discovery/endpoint_list.rs
@@ -133,8 +133,10 @@
             return Err(EndpointListError::EmptyName { index });
         }
         let Ok(address) = self.address.parse() else {
-            let (endpoint, address) = (self.name.into(), self.address.into());
-            return Err(EndpointListError::InvalidAddress { endpoint, address });
+            return Err(EndpointListError::InvalidAddress {
+                endpoint: self.name.into(),
+                address: self.address.into(),
+            });
         };
         if **last_zone != *self.zone {
             *last_zone = self.zone.into();
--- a/gateway/src/endpoint/connections.rs
+++ b/gateway/src/endpoint/connections.rs
@@ -2,6 +2,7 @@
 
 use crate::endpoint::connection_limit::{ConnectionLimit, ConnectionSlot};
 use crate::endpoint::pool::{IdleConnection, Pool};
+use crate::endpoint::settings::EndpointSettings;
 use crate::endpoint::stale_connections::{ExchangeResult, StaleEstimator};
 use crate::http_connection::Connection;
 use crate::socket::ConnectError;
@@ -70,15 +71,14 @@
 }
 
 impl EndpointConnections {
-    /// No connections yet; at most `max_open` to all endpoints together. Endpoints close connections that
-    /// were idle for `endpoint_idle_timeout`.
-    pub(super) fn new(connect_timeout: Duration, endpoint_idle_timeout: Duration, max_open: usize) -> Self {
+    /// No connections yet.
+    pub(super) fn new(settings: EndpointSettings) -> Self {
         Self {
             pool: RefCell::default(),
-            limit: ConnectionLimit::new(max_open),
+            limit: ConnectionLimit::new(settings.max_connections),
             stale_estimator: RefCell::default(),
-            connect_timeout,
-            max_idle: endpoint_idle_timeout.mul_f64(MAX_IDLE_FRACTION),
+            connect_timeout: settings.connect_timeout,
+            max_idle: settings.endpoint_idle_timeout.mul_f64(MAX_IDLE_FRACTION),
         }
     }
 
--- a/gateway/src/endpoint/mod.rs
+++ b/gateway/src/endpoint/mod.rs
@@ -1,8 +1,8 @@
 //! Endpoints: their addresses, the connections to them, forwarded attempts and health checks.
 //!
-//! In reading order: `registry` knows each endpoint's address and readiness by the endpoint list;
-//! `connections` hands out connections, idle ones from the [`pool`] where `stale_connections` trusts them,
-//! new ones within the `connection_limit`; `exchange` sends one request on one of them; `attempt` and
+//! In reading order: `settings` configures them; `registry` has each endpoint's address and readiness by the
+//! endpoint list; `connections` provides connections: idle ones from the [`pool`] where `stale_connections`
+//! allows their reuse, new ones within the `connection_limit`; `exchange` sends one request on one of them; `attempt` and
 //! `health_check` run an exchange and classify how it ended; `load_report` reads the endpoint's load.
 
 mod attempt;
@@ -13,9 +13,11 @@
 mod load_report;
 pub mod pool;
 mod registry;
+mod settings;
 mod stale_connections;
 
 pub use attempt::{Attempt, AttemptLimits, AttemptResult, EndpointResponse, ForwardedRequest};
 pub use exchange::MAX_BODY_BYTES;
 pub use health_check::{HealthCheckResult, check_health};
 pub use registry::EndpointRegistry;
+pub use settings::EndpointSettings;
--- a/gateway/src/endpoint/registry.rs
+++ b/gateway/src/endpoint/registry.rs
@@ -2,6 +2,7 @@
 
 use crate::discovery::{EndpointList, ListedEndpoint};
 use crate::endpoint::connections::{AcquiredConnection, EndpointConnections};
+use crate::endpoint::settings::EndpointSettings;
 use rustc_hash::FxHashMap;
 use ryefront_policy::{EndpointState, LoadReportSource, Name};
 use std::cell::{Cell, RefCell};
@@ -33,17 +34,13 @@
 }
 
 impl EndpointRegistry {
-    /// No endpoints yet; at most `max_open` connections to all of them together. Endpoints close connections
-    /// that were idle for `endpoint_idle_timeout`.
-    pub fn new(
-        connect_timeout: Duration, endpoint_idle_timeout: Duration, load_report_source: LoadReportSource,
-        max_open: usize,
-    ) -> Rc<Self> {
+    /// A registry without endpoints.
+    pub fn new(settings: EndpointSettings) -> Rc<Self> {
         Rc::new(Self {
             endpoints: RefCell::default(),
             applied_lists: Cell::default(),
-            connections: EndpointConnections::new(connect_timeout, endpoint_idle_timeout, max_open),
-            load_report_source,
+            connections: EndpointConnections::new(settings),
+            load_report_source: settings.load_report_source,
         })
     }
 
--- a/gateway/src/engine.rs
+++ b/gateway/src/engine.rs
@@ -21,10 +21,9 @@
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
-use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep, sleep_until};
 
-pub use crate::request_table::FinalAnswer;
+pub use crate::request_table::{FinalAnswer, SubmittedRequest};
 
 /// A counter call is abandoned after this many times the settings' counter timeout. A counter that is merely
 /// slow still adds, and a lease block whose call was abandoned is used by nobody. No request waits as long:
@@ -78,15 +77,14 @@
         }
     }
 
-    /// Submits a request. Its final answer comes through the receiver unless the client, whose socket this
-    /// is, disconnects first. Its attempts end by the deadline.
+    /// Submits a request of the client with this socket. Its attempts end by the deadline.
     pub fn submit(
         &self, arrival: impl FnOnce(RequestId) -> Arrival, request: ForwardedRequest, client: SharedStream,
         deadline: Instant,
-    ) -> (RequestId, oneshot::Receiver<FinalAnswer>) {
-        let (id, answer) = self.requests.borrow_mut().insert(request, client, deadline);
-        self.post(Event::RequestArrived(arrival(id)));
-        (id, answer)
+    ) -> SubmittedRequest {
+        let submitted = self.requests.borrow_mut().insert(request, client, deadline);
+        self.post(Event::RequestArrived(arrival(submitted.id)));
+        submitted
     }
 
     /// Removes a request whose client has disconnected and cancels its attempt.
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -5,7 +5,7 @@
 use ryefront_gateway::client::Server;
 use ryefront_gateway::config::Config;
 use ryefront_gateway::discovery::{EndpointListSink, watch_endpoints};
-use ryefront_gateway::endpoint::EndpointRegistry;
+use ryefront_gateway::endpoint::{EndpointRegistry, EndpointSettings};
 use ryefront_gateway::engine::Engine;
 use ryefront_gateway::log;
 use ryefront_gateway::reload::reload_on_sighup;
@@ -45,12 +45,12 @@
     spawn(async move { watched.forward().await });
 
     let sockets = SocketBudget::new(config.max_sockets);
-    let endpoints = EndpointRegistry::new(
-        config.connect_timeout,
-        config.endpoint_idle_timeout,
-        config.settings.load_report_source,
-        sockets.endpoints,
-    );
+    let endpoints = EndpointRegistry::new(EndpointSettings {
+        connect_timeout: config.connect_timeout,
+        endpoint_idle_timeout: config.endpoint_idle_timeout,
+        load_report_source: config.settings.load_report_source,
+        max_connections: sockets.endpoints,
+    });
     let engine = Engine::start(config.settings.clone(), config.seed, endpoints.clone(), config.counter)?;
     let server = Server::new(engine.clone(), &config.settings, sockets.clients);
 
--- a/gateway/src/request_table.rs
+++ b/gateway/src/request_table.rs
@@ -48,6 +48,14 @@
     }
 }
 
+/// A request that was submitted.
+pub struct SubmittedRequest {
+    /// The id by which the policy refers to it.
+    pub id: RequestId,
+    /// Receives the final answer, unless the request is removed before.
+    pub final_answer: oneshot::Receiver<FinalAnswer>,
+}
+
 /// An attempt that has not ended.
 struct AttemptInFlight {
     number: u32,
@@ -99,11 +107,11 @@
 }
 
 impl RequestTable {
-    /// Adds a request, to be answered by the deadline; its final answer comes through the receiver.
+    /// Adds a request whose attempts end by the deadline.
     pub(crate) fn insert(
         &mut self, request: ForwardedRequest, client: SharedStream, deadline: Instant,
-    ) -> (RequestId, oneshot::Receiver<FinalAnswer>) {
-        let (answer, receiver) = oneshot::channel();
+    ) -> SubmittedRequest {
+        let (answer, final_answer) = oneshot::channel();
         self.last_id += 1;
         let in_progress = RequestInProgress {
             request,
@@ -114,7 +122,7 @@
             last_attempt_timed_out: false,
         };
         self.requests.insert(self.last_id, in_progress);
-        (self.last_id, receiver)
+        SubmittedRequest { id: self.last_id, final_answer }
     }
 
     /// The number of requests in progress.
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -7,7 +7,7 @@
     CONNECT_TIMEOUT, DiscoveryService, PollBackoff, PollFailure, PollTiming,
 };
 use ryefront_gateway::discovery::{EndpointList, watch_endpoints};
-use ryefront_gateway::endpoint::EndpointRegistry;
+use ryefront_gateway::endpoint::{EndpointRegistry, EndpointSettings};
 use ryefront_gateway::engine::Engine;
 use ryefront_policy::LoadReportSource;
 use std::time::Duration;
@@ -147,8 +147,12 @@
             "classes":[{"name":"look","effect":"idempotent","goal-time-ms":800,"worth":1}]}"#;
         let settings =
             ryefront_settings::read(&serde_json::from_str(settings).expect("JSON")).expect("settings");
-        let endpoints =
-            EndpointRegistry::new(Duration::from_secs(1), Duration::from_secs(1), LoadReportSource::None, 10);
+        let endpoints = EndpointRegistry::new(EndpointSettings {
+            connect_timeout: Duration::from_secs(1),
+            endpoint_idle_timeout: Duration::from_secs(1),
+            load_report_source: LoadReportSource::None,
+            max_connections: 10,
+        });
         let engine = Engine::start(settings, seed, endpoints, None).expect("an engine");
         let (_moved, address) = watch::channel(at);
         tokio::task::spawn_local(watch_endpoints(address, 1, seed, pace, engine));
