--- a/fleet/src/slopes/list_watch.rs
+++ b/fleet/src/slopes/list_watch.rs
@@ -4,7 +4,7 @@
 use super::subject::{IDLE_TIMEOUT, gateway_count, settings, snapshot};
 use crate::endpoint_list::Registry;
 use ryefront_gateway::discovery::backoff::PollTiming;
-use ryefront_gateway::discovery::watch_endpoints;
+use ryefront_gateway::discovery::{WatchSettings, watch_endpoints};
 use ryefront_gateway::engine::Engine;
 use ryefront_policy::Settings;
 use std::io;
@@ -29,7 +29,9 @@
         let registry = Registry::new(IDLE_TIMEOUT).shared();
         let settings = Settings { has_counter: false, ..settings(gateway_count(endpoints), 1) };
         let engine = Engine::start(settings, SEED, registry, None)?;
-        tokio::task::spawn_local(watch_endpoints(address, 0, SEED, PollTiming::SHARED_SERVICE, engine));
+        let timing = PollTiming::SHARED_SERVICE;
+        let watch = WatchSettings { address, cached_version: 0, seed: SEED, timing };
+        tokio::task::spawn_local(watch_endpoints(watch, engine));
         Ok(tokio::time::timeout(READ_TIMEOUT, serve_list(&listener, &list)).await.unwrap_or(Ok(false))?)
     })
 }
--- a/gateway/src/client/connection.rs
+++ b/gateway/src/client/connection.rs
@@ -1,9 +1,9 @@
-//! Serves one client connection until the client closes it, a timeout, the eviction, or the shutdown.
+//! Serves one client connection until it is closed by the client, a timeout, an eviction or the shutdown.
 
 use crate::client::connection_state::ConnectionState;
 use crate::client::request_head::MAX_HEAD_BYTES;
 use crate::client::response::HttpResponse;
-use crate::client::shutdown::{CloseSignal, LINGER};
+use crate::client::shutdown::{CloseSignal, LATE_ARRIVAL_PERIOD};
 use crate::instrumented_stream::InstrumentedStream;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -28,7 +28,7 @@
     /// No complete request came in time. Clients that send nothing, or too slowly, would use up the
     /// connections.
     RequestTimeout,
-    /// The shutdown has come to the point at which it closes this connection.
+    /// The shutdown has reached the phase that closes this connection.
     Shutdown,
     /// The connection is idle, and others are waiting for one.
     Evicted,
@@ -74,7 +74,7 @@
 /// Closes a connection after the response in progress. An unused one may receive its first request for a
 /// while: clients do not repeat a first request when its connection closes without a response.
 async fn close_for_shutdown(mut http: Pin<&mut impl HttpConnection>, state: &ConnectionState) {
-    let first_request_due = state.idle_since() + LINGER;
+    let first_request_due = state.idle_since() + LATE_ARRIVAL_PERIOD;
     if state.is_unused() && timeout_at(first_request_due, http.as_mut()).await.is_ok() {
         return;
     }
--- a/gateway/src/client/connection_state.rs
+++ b/gateway/src/client/connection_state.rs
@@ -22,7 +22,7 @@
     busy: Cell<bool>,
     /// When it was accepted, had its last response or the first byte of its next request.
     idle_since: Cell<Instant>,
-    answered: Cell<bool>,
+    responded: Cell<bool>,
     evicted: Cell<bool>,
     head: RefCell<RequestHead>,
     eviction: Notify,
@@ -34,7 +34,7 @@
             socket,
             busy: Cell::new(false),
             idle_since: Cell::new(Instant::now()),
-            answered: Cell::new(false),
+            responded: Cell::new(false),
             evicted: Cell::new(false),
             head: RefCell::default(),
             eviction: Notify::new(),
@@ -56,13 +56,13 @@
     }
 
     /// Whether it has had a response.
-    pub(super) fn is_answered(&self) -> bool {
-        self.answered.get()
+    pub(super) fn has_responded(&self) -> bool {
+        self.responded.get()
     }
 
     /// Whether nothing has been received on it.
     pub(super) fn is_unused(&self) -> bool {
-        !self.is_answered() && self.is_idle() && self.head.borrow().is_empty()
+        !self.has_responded() && self.is_idle() && self.head.borrow().is_empty()
     }
 
     /// Resolves once the time for a complete request is over.
@@ -85,7 +85,7 @@
     /// Records that a response is ready.
     pub(super) fn record_response(&self) {
         self.busy.set(false);
-        self.answered.set(true);
+        self.responded.set(true);
         self.idle_since.set(Instant::now());
         self.head.take();
     }
@@ -96,7 +96,7 @@
         self.head.borrow().is_plainly_chunked(request)
     }
 
-    /// Has the connection closed.
+    /// Requests that the connection be closed.
     pub(super) fn evict(&self) {
         self.evicted.set(true);
         self.eviction.notify_one();
@@ -118,7 +118,7 @@
         if !self.is_idle() || bytes.is_empty() || head.is_complete() {
             return;
         }
-        if head.is_empty() && self.is_answered() {
+        if head.is_empty() && self.has_responded() {
             self.idle_since.set(Instant::now());
         }
         head.append(bytes);
--- a/gateway/src/client/connection_table.rs
+++ b/gateway/src/client/connection_table.rs
@@ -2,7 +2,7 @@
 //!
 //! Clients that connect, send one request and keep the connection could use up the connections, and others
 //! would wait in the accept queue. So from half of the limit on, each new connection evicts an idle one.
-//! Clients with many connections that send requests rarely pay for it with reconnects.
+//! Clients that send requests on many connections rarely have to reconnect because of it.
 
 use crate::client::connection_state::ConnectionState;
 use std::cell::RefCell;
@@ -30,7 +30,7 @@
 
 impl EvictionRank {
     fn of(connection: &ConnectionState, now: Instant) -> Self {
-        if connection.is_answered() {
+        if connection.has_responded() {
             Self::IdleAfterResponse
         } else if now.duration_since(connection.idle_since()) < NEW_CONNECTION_AGE {
             Self::New
--- a/gateway/src/client/handler.rs
+++ b/gateway/src/client/handler.rs
@@ -126,7 +126,7 @@
         &self, request: ParsedRequest, connection: &ConnectionState,
     ) -> Option<HttpResponse> {
         let socket = connection.socket();
-        let answered = async {
+        let final_answer = async {
             if socket.is_closed_by_peer().await {
                 return None;
             }
@@ -135,7 +135,7 @@
         tokio::select! {
             biased;
             () = socket.closed_by_peer() => None,
-            response = answered => response,
+            response = final_answer => response,
         }
     }
 }
--- a/gateway/src/client/listener.rs
+++ b/gateway/src/client/listener.rs
@@ -39,15 +39,15 @@
     }
 
     /// Accepts every connection in the kernel's accept queue, passes each to `serve` and closes the listener.
-    /// Gives up after `limit` if the queue cannot be read.
+    /// Returns after `timeout` if the queue cannot be read.
     ///
     /// The kernel has completed these connections, so clients may have sent requests on them; closing the
     /// listener resets those that are left. The queue is read without the event loop, which may not have
     /// noticed the newest connections yet. A failed call does not end the loop, as the connections behind it
     /// would be lost.
-    pub(super) async fn drain_accept_queue(self, limit: Duration, serve: impl Fn(TcpStream)) {
+    pub(super) async fn drain_accept_queue(self, timeout: Duration, serve: impl Fn(TcpStream)) {
         let Ok(listener) = self.listener.into_std() else { return };
-        let deadline = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         loop {
             match listener.accept() {
                 Ok((stream, _)) => {
--- a/gateway/src/client/request.rs
+++ b/gateway/src/client/request.rs
@@ -197,7 +197,7 @@
         })
     }
 
-    /// Whether a tenant can have such a request. Others would spoil the usage that is recorded for the
+    /// Whether a tenant can have such a request. Others would corrupt the usage that is recorded for the
     /// tenant.
     fn are_possible(&self, terms: Terms) -> bool {
         terms.units > 0.0
--- a/gateway/src/client/response.rs
+++ b/gateway/src/client/response.rs
@@ -152,7 +152,8 @@
     text(error.status(), &error.to_string())
 }
 
-/// The response when the client has disconnected. It arrives where the client has only ended its sending.
+/// The response when the client has disconnected. Only clients that have closed
+/// no more than their sending side receive it.
 pub(super) fn client_disconnected() -> HttpResponse {
     text(StatusCode::BAD_REQUEST, "the client disconnected before its final answer")
 }
--- a/gateway/src/client/server.rs
+++ b/gateway/src/client/server.rs
@@ -1,4 +1,4 @@
-//! Joins listener, connections, request handler and shutdown into the client side of one gateway.
+//! Combines listener, connections, request handler and shutdown into the client side of one gateway.
 
 use crate::client::connection;
 use crate::client::connection_state::ConnectionState;
@@ -7,7 +7,7 @@
 use crate::client::listener::ClientListener;
 use crate::client::shutdown::Shutdown;
 use crate::engine::Engine;
-use crate::socket::SharedStream;
+use crate::socket::{SharedStream, disable_write_delay};
 use crate::task::spawn;
 use ryefront_policy::Settings;
 use std::pin::pin;
@@ -50,8 +50,7 @@
     }
 
     fn serve_connection(self: &Rc<Self>, stream: TcpStream) {
-        // Without it small writes may be delayed, which is no reason to give up the connection.
-        let _ = stream.set_nodelay(true);
+        disable_write_delay(&stream);
         let state = Rc::new(ConnectionState::new(SharedStream::new(stream)));
         self.connections.add(state.clone());
         let close_signal = self.shutdown.close_signal();
--- a/gateway/src/client/shutdown.rs
+++ b/gateway/src/client/shutdown.rs
@@ -11,16 +11,16 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// New connections arrive for up to this long after SIGTERM.
-pub(super) const LINGER: Duration = Duration::from_millis(500);
+/// How long after SIGTERM new connections may still arrive.
+pub(super) const LATE_ARRIVAL_PERIOD: Duration = Duration::from_millis(500);
 /// The time for returning leases to the quotas, before the accept queue is drained.
 const LEASE_RETURN_TIME: Duration = Duration::from_millis(200);
-/// An accept queue that cannot be read is given up after this.
+/// An accept queue that cannot be read is abandoned after this.
 const ACCEPT_QUEUE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Requests without a response get a final answer this long after SIGTERM: just before the process may be
 /// killed.
 const FINAL_ANSWERS_AFTER: Duration = Duration::from_millis(3500);
-/// Connections are given up this long after the last final answer, as clients may stop reading or sending
+/// Connections are abandoned this long after the last final answer, as clients may stop reading or sending
 /// half-way.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often the end of the last requests is checked while connections close.
@@ -44,16 +44,25 @@
     ClosingAllConnections,
 }
 
-/// How many times the shutdown has closed connections.
+/// Which connections the shutdown closes, in order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct CloseRound(u8);
+enum CloseRound {
+    /// None yet.
+    NotClosing,
+    /// Those opened before this round.
+    OpenedBefore,
+    /// All that are left.
+    All,
+}
 
 impl ShutdownPhase {
     fn close_round(self) -> CloseRound {
         match self {
-            Self::Serving | Self::NotReady => CloseRound(0),
-            Self::ClosingIdleConnections | Self::ReturningLeases | Self::DrainingAcceptQueue => CloseRound(1),
-            Self::ClosingAllConnections => CloseRound(2),
+            Self::Serving | Self::NotReady => CloseRound::NotClosing,
+            Self::ClosingIdleConnections | Self::ReturningLeases | Self::DrainingAcceptQueue => {
+                CloseRound::OpenedBefore
+            }
+            Self::ClosingAllConnections => CloseRound::All,
         }
     }
 }
@@ -109,15 +118,15 @@
         }
     }
 
-    /// The phases in which new connections are accepted: fails readiness, lingers, closes idle connections,
-    /// and returns the leases. Runs beside the listener.
+    /// The phases in which new connections are accepted: fails readiness, waits for late connections, closes
+    /// idle connections, and returns the leases. Runs beside the listener.
     pub(super) async fn drain_while_accepting(&self, engine: &Engine) {
         self.final_answers_at.send_replace(Some(Instant::now() + FINAL_ANSWERS_AFTER));
         self.enter(ShutdownPhase::NotReady);
-        sleep(LINGER / 2).await;
+        sleep(LATE_ARRIVAL_PERIOD / 2).await;
 
         self.enter(ShutdownPhase::ClosingIdleConnections);
-        sleep(LINGER / 2).await;
+        sleep(LATE_ARRIVAL_PERIOD / 2).await;
 
         self.enter(ShutdownPhase::ReturningLeases);
         engine.return_leases(LEASE_RETURN_TIME).await;
@@ -133,11 +142,11 @@
     /// final answer.
     pub(super) async fn close_all_connections(&self, engine: &Engine, connections: &ConnectionTable) {
         self.enter(ShutdownPhase::ClosingAllConnections);
-        let mut answered_since = Instant::now();
-        while !connections.is_empty() && answered_since.elapsed() < CLOSE_TIMEOUT {
+        let mut idle_since = Instant::now();
+        while !connections.is_empty() && idle_since.elapsed() < CLOSE_TIMEOUT {
             let _ = timeout(CLOSE_CHECK_INTERVAL, connections.removed()).await;
             if engine.requests_in_progress() > 0 {
-                answered_since = Instant::now();
+                idle_since = Instant::now();
             }
         }
     }
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -111,7 +111,7 @@
     pub listen: SocketAddr,
     /// Where the discovery service is.
     pub discovery: SocketAddr,
-    /// How often the discovery service is polled, and for how long.
+    /// The timing of the polls to the discovery service.
     pub poll_timing: PollTiming,
     /// Where the counter is, if there is one.
     pub counter: Option<SocketAddr>,
@@ -119,7 +119,7 @@
     pub seed: u64,
     /// The most file descriptors that the process may hold.
     pub max_sockets: usize,
-    /// The endpoint list as this gateway last had it.
+    /// The last known endpoint list, in use until discovery sends one.
     pub cached_endpoints: EndpointList,
     /// A connection to an endpoint that takes longer has failed.
     pub connect_timeout: Duration,
@@ -147,7 +147,7 @@
         Self::read(|variable, file| file.or(variable))
     }
 
-    /// Reads variables and file; `choose` takes one of the values that both have.
+    /// Reads variables and file; `choose` selects between the values that both have.
     fn read(choose: impl Fn(Option<String>, Option<String>) -> Option<String>) -> Result<Self, ConfigError> {
         let path = std::env::var_os(FILE_VARIABLE).ok_or(ConfigError::FileNotNamed)?;
         let path = Path::new(&path);
@@ -159,7 +159,7 @@
 
     /// Parses the text of a configuration file. `choose` gets the name of a variable and the file's value,
     /// and returns the value that applies. A time that the settings lack or have as 0 is the default one, for
-    /// sockets and policy alike.
+    /// both sockets and policy.
     ///
     /// # Errors
     /// When it cannot be used.
--- a/gateway/src/counter/call_queue.rs
+++ b/gateway/src/counter/call_queue.rs
@@ -1,4 +1,4 @@
-//! The calls of one connection, shared by those who make calls and by the task that drives the connection.
+//! The calls of one connection, shared by the callers and the task that drives the connection.
 
 use crate::clock::millis;
 use crate::counter::pipeline::{PendingCall, Pipeline};
@@ -15,7 +15,7 @@
 /// How one increment ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CompletedCall {
-    /// The name of the number.
+    /// The key of the counter.
     pub key: u64,
     /// Whether the amount was added, and the total.
     pub result: CounterResult,
@@ -144,7 +144,7 @@
     }
 
     /// Reports calls past their timeout as unknown, also those not completely written: they may be written
-    /// later. They stay in the queue, as their replies are still to come.
+    /// later. They remain in the queue, as their replies may still arrive.
     pub(super) fn report_timed_out(&self) {
         loop {
             let timed_out = self.pipeline.borrow_mut().time_out_next(self.call_timeout);
--- a/gateway/src/counter/client.rs
+++ b/gateway/src/counter/client.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Adds `amount` to the number named `key`, which expires `ttl` after its first use. The completion is
+    /// Adds `amount` to the counter with this key, which expires `ttl` after its first use. The completion is
     /// reported later, or at once when no connection accepts the call.
     pub fn increment(&self, key: u64, amount: f64, ttl: Millis) {
         let connection = self.connections.borrow()[key as usize % CONNECTION_COUNT].clone();
--- a/gateway/src/counter/connection.rs
+++ b/gateway/src/counter/connection.rs
@@ -16,8 +16,8 @@
 use tokio::time::{sleep, timeout};
 
 /// A connection attempt may last this much longer than a call.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// The pause after a connection without a reply, doubled with each further one up to the maximum.
+const CONNECT_TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
+/// The delay after a connection without a reply, doubled with each further one up to the maximum.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
@@ -44,7 +44,8 @@
         self.calls.call(command);
     }
 
-    /// Closes the connection once the completion of all calls in flight is reported. No new calls may come.
+    /// Closes the connection once the completion of all calls in flight is reported. No calls may be made
+    /// after this.
     pub(super) fn drain(&self) {
         self.calls.drain();
     }
@@ -80,11 +81,12 @@
         has_replied
     }
 
-    /// Connects. Calls are enqueued meanwhile, for as long as one may last.
+    /// Connects. Calls are enqueued meanwhile, until the first of them may have timed out; later ones are
+    /// reported as not added until the connection is established.
     async fn connect(&self) -> Option<TcpStream> {
         self.calls.accept_calls();
         let call_timeout = self.calls.call_timeout();
-        let mut connecting = pin!(connect(self.address, call_timeout + CONNECT_TIMEOUT));
+        let mut connecting = pin!(connect(self.address, call_timeout + CONNECT_TIMEOUT_MARGIN));
         if let Ok(connected) = timeout(call_timeout, connecting.as_mut()).await {
             return connected.ok();
         }
--- a/gateway/src/counter/pipeline.rs
+++ b/gateway/src/counter/pipeline.rs
@@ -1,4 +1,4 @@
-//! The calls in flight on one connection, and the bytes of theirs that are not written yet.
+//! The calls in flight on one connection, and those of their bytes that are not written yet.
 
 use crate::counter::resp::Command;
 use crate::socket::is_transient;
@@ -18,7 +18,7 @@
     pub(super) started_at: Instant,
     /// Whether its completion is still to be reported. That of a ping never is.
     pub(super) awaits_report: bool,
-    /// The offset behind its last byte in the bytes of this connection.
+    /// The offset of the byte after its last one, in all bytes written on this connection.
     end_offset: u64,
 }
 
@@ -94,7 +94,7 @@
     }
 
     /// Marks the oldest unreported call as reported, if it has waited for `timeout`, and returns it as it
-    /// was. It keeps its position in the queue, as its reply may still come.
+    /// was. It keeps its position in the queue, as its reply may still arrive.
     pub(super) fn time_out_next(&mut self, timeout: Duration) -> Option<PendingCall> {
         let oldest = self.calls.iter_mut().find(|call| call.awaits_report)?;
         if oldest.started_at.elapsed() < timeout {
--- a/gateway/src/counter/resp.rs
+++ b/gateway/src/counter/resp.rs
@@ -15,7 +15,7 @@
 /// One command to the counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Command {
-    /// Adds to a number and returns its total.
+    /// Adds to a counter and returns its total.
     Increment { key: u64, amount: f64, ttl: Millis },
     /// Keeps an idle connection open.
     Ping,
@@ -35,10 +35,10 @@
     }
 }
 
-fn encode_array(words: &[&str], output: &mut VecDeque<u8>) {
-    output.extend(format!("*{}\r\n", words.len()).bytes());
-    for word in words {
-        output.extend(format!("${}\r\n{word}\r\n", word.len()).bytes());
+fn encode_array(arguments: &[&str], output: &mut VecDeque<u8>) {
+    output.extend(format!("*{}\r\n", arguments.len()).bytes());
+    for argument in arguments {
+        output.extend(format!("${}\r\n{argument}\r\n", argument.len()).bytes());
     }
 }
 
--- a/gateway/src/counter/session.rs
+++ b/gateway/src/counter/session.rs
@@ -1,4 +1,4 @@
-//! The life of one established connection: writes calls, matches replies to them, and enforces the timeouts.
+//! One established connection: writes calls, matches replies to them, and enforces the timeouts.
 
 use crate::counter::call_queue::CallQueue;
 use crate::counter::resp::{Reply, ReplyBuffer, ReplyError};
@@ -13,8 +13,8 @@
 /// A connection with calls in flight on which nothing was received for this long is dead: a machine that
 /// vanished resets no connection.
 const DEAD_AFTER: Duration = Duration::from_secs(1);
-/// A reply is complete within this time of its first byte. Calls behind one that never completes would wait
-/// in vain.
+/// A reply is complete within this time of its first byte. Otherwise the calls behind one that never
+/// completes would time out one by one.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(50);
 /// An idle connection is pinged this often, as the counter closes connections that are idle for longer.
 const PING_INTERVAL: Duration = Duration::from_secs(3);
@@ -67,7 +67,7 @@
         while !self.calls.has_drained() {
             self.wait_for_work().await?;
             self.calls.write_to(self.stream)?;
-            // Before the timeouts: a reply that has arrived counts.
+            // Before the timeouts: a reply that has arrived is in time.
             self.read_replies()?;
             self.check_partial_reply()?;
             self.calls.report_timed_out();
@@ -91,10 +91,10 @@
 
     /// When the next timeout expires: that of a call, of a partial reply, or of the connection.
     fn next_deadline(&self) -> Instant {
-        let silence_limit = if self.calls.is_idle() { PING_INTERVAL } else { DEAD_AFTER };
+        let receive_timeout = if self.calls.is_idle() { PING_INTERVAL } else { DEAD_AFTER };
         let receive_deadline = match self.partial_since {
             Some(since) => since + REPLY_TIMEOUT,
-            None => self.last_received_at + silence_limit,
+            None => self.last_received_at + receive_timeout,
         };
         let call_deadline = self.calls.next_timeout();
         call_deadline.map_or(receive_deadline, |deadline| deadline.min(receive_deadline))
@@ -130,7 +130,7 @@
     }
 
     /// Matches a reply to the oldest call, as replies come in the order of the calls. A call with an invalid
-    /// reply stays in the queue and is reported as unknown with those behind it when the session ends.
+    /// reply remains in the queue and is reported as unknown with those behind it when the session ends.
     fn handle_reply(&self, frame: &OwnedFrame) -> Result<(), ReplyError> {
         let result = match Reply::decode(frame, self.calls.oldest_command())? {
             Reply::Total(total) => CounterResult::Total(total),
--- a/gateway/src/discovery/backoff.rs
+++ b/gateway/src/discovery/backoff.rs
@@ -1,12 +1,12 @@
 //! Timeouts of polls to discovery and the backoff between them.
 //!
-//! They bound how late a gateway learns of a change after any sequence of failures.
+//! They bound how late a gateway is notified of a change after any sequence of failures.
 
 use std::time::Duration;
 
 /// The timeout of a connection attempt to discovery.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// The delay after a failure: discovery keeps a watch open for 200 ms between two polls.
+/// The delay after a failure. Below the 200 ms for which discovery keeps a watch open between two polls.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// The longest timeout of a poll that does not wait for changes, however many responses were late.
 const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1400);
@@ -24,8 +24,8 @@
 }
 
 impl ExponentialBackoff {
-    /// The delay after so many consecutive failures. It doubles with each up to the maximum; from the second
-    /// failure on it is between a half and all of that, as `jitter` from 0 to 1 selects, so that gateways
+    /// The delay after a number of consecutive failures. It doubles with each up to the maximum. From the
+    /// second failure on, `jitter` from 0 to 1 selects between half the delay and all of it, so that gateways
     /// that failed together do not retry together.
     pub fn delay(&self, failures: u32, jitter: f64) -> Duration {
         let doublings = failures.saturating_sub(1).min(16);
@@ -34,7 +34,7 @@
     }
 }
 
-/// Who answers the polls.
+/// Who responds to the polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryService {
     /// One service that all gateways poll.
@@ -43,11 +43,11 @@
     LocalAgent,
 }
 
-/// How often discovery is polled, and how long a response is waited for.
+/// The timing of the polls to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PollTiming {
-    /// How long one poll may wait for changes. It bounds how long a lost poll goes unnoticed, as that looks
-    /// like a poll without changes until its wait is over.
+    /// How long one poll may wait for changes. It bounds how long the loss of a poll is unnoticed, as it
+    /// looks like a poll without changes until its wait is over.
     pub max_wait: Duration,
     /// A poll without a response this long after its wait is lost.
     pub response_timeout: Duration,
@@ -71,9 +71,9 @@
         backoff: ExponentialBackoff { initial: RECONNECT_DELAY, max: Duration::from_millis(1500) },
     };
 
-    /// The timing for a service. A local agent responds at once, and what it has counts as known whether or
-    /// not a poll is in progress. So a poll that was lost when the agent stopped responding, noticed only
-    /// after it recovered, a delay, and a successful poll fit into the drain grace period.
+    /// The timing for a service. A local agent responds at once, and the gateway must know its changes
+    /// whether or not a poll is in progress. So a poll that was lost when the agent stopped responding,
+    /// noticed only after it recovered, a delay, and a successful poll fit into the drain grace period.
     pub fn new(service: DiscoveryService, drain_grace: Duration) -> Self {
         let shared = Self::SHARED_SERVICE;
         if service == DiscoveryService::Shared || drain_grace.is_zero() {
--- a/gateway/src/discovery/endpoint_list.rs
+++ b/gateway/src/discovery/endpoint_list.rs
@@ -11,7 +11,7 @@
 /// The most bytes of one entry, indentation included.
 const MAX_ENTRY_BYTES: usize = 512;
 /// The most bytes of a list.
-pub const MAX_LIST_BYTES: usize = MAX_ENDPOINTS * MAX_ENTRY_BYTES;
+pub(crate) const MAX_LIST_BYTES: usize = MAX_ENDPOINTS * MAX_ENTRY_BYTES;
 
 /// The endpoint list, or changes to it.
 #[derive(Clone, Debug)]
@@ -20,7 +20,7 @@
     pub version: u64,
     /// Whether endpoints that are missing from it are removed.
     pub is_snapshot: bool,
-    /// The entries; of several for one endpoint the last one counts.
+    /// The entries. The last one for an endpoint applies.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
--- a/gateway/src/discovery/mod.rs
+++ b/gateway/src/discovery/mod.rs
@@ -1,8 +1,9 @@
-//! The endpoint list: its wire format, and the watch that follows it.
+//! The endpoint list: its wire format (`endpoint_list`), the watch that follows it (`watch`), and the timing
+//! of its polls (`backoff`).
 
 pub mod backoff;
-pub mod endpoint_list;
-pub mod watch;
+mod endpoint_list;
+mod watch;
 
 pub use endpoint_list::{EndpointList, EndpointListError, ListedEndpoint};
-pub use watch::{EndpointListSink, watch_endpoints};
+pub use watch::{EndpointListSink, WatchSettings, watch_endpoints};
--- a/gateway/src/discovery/watch.rs
+++ b/gateway/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! Follows the endpoint list by long polls, on one connection for as long as it works.
+//! Follows the endpoint list by long polls, on one connection until it fails.
 //!
 //! While discovery cannot be reached, the last list remains in effect.
 
@@ -19,23 +19,32 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Whoever acts on the endpoint list.
+/// The consumer of endpoint lists.
 pub trait EndpointListSink {
-    /// Applies a snapshot or a delta. Lists come in the order of their versions.
+    /// Applies a snapshot or a delta. Lists are passed in the order in which they were received.
     fn apply(&self, list: EndpointList);
 }
 
-/// Watches the endpoint list forever, at the latest value of `address`. `version` is that of the
-/// list already known, and `seed` that of the jitter.
-pub async fn watch_endpoints(
-    mut address: watch::Receiver<SocketAddr>, version: u64, seed: u64, timing: PollTiming,
-    sink: Rc<dyn EndpointListSink>,
-) {
+/// What a watch needs at its start.
+pub struct WatchSettings {
+    /// Where discovery is. The watch follows a change at once.
+    pub address: watch::Receiver<SocketAddr>,
+    /// The version of the cached list.
+    pub cached_version: u64,
+    /// The seed of the jitter in the backoff.
+    pub seed: u64,
+    /// The timing of the polls.
+    pub timing: PollTiming,
+}
+
+/// Watches the endpoint list, for as long as the program runs.
+pub async fn watch_endpoints(settings: WatchSettings, sink: Rc<dyn EndpointListSink>) {
+    let mut address = settings.address;
     let mut watcher = Watcher {
-        timing,
+        timing: settings.timing,
         sink,
-        known_version: Some(version),
-        jitter: fastrand::Rng::with_seed(seed),
+        known_version: Some(settings.cached_version),
+        jitter: fastrand::Rng::with_seed(settings.seed),
         logged: LoggedKinds::default(),
     };
     loop {
@@ -44,7 +53,7 @@
             () = watcher.watch_at(current) => {}
             Ok(()) = address.changed() => {}
         }
-        // Another service may count its versions differently, so it is asked for a snapshot.
+        // Another service may number its versions differently, so the next poll is for a snapshot.
         watcher.known_version = None;
     }
 }
@@ -70,7 +79,7 @@
     InvalidList(#[from] EndpointListError),
 }
 
-/// Errors of one kind are logged once.
+/// The kinds of errors, of which each is logged once.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WatchErrorKind {
     Unreachable,
@@ -119,14 +128,14 @@
 struct Watcher {
     timing: PollTiming,
     sink: Rc<dyn EndpointListSink>,
-    /// The version to poll for changes after; none to poll for a snapshot.
+    /// The version after which changes are polled for; `None` to poll for a snapshot.
     known_version: Option<u64>,
     jitter: fastrand::Rng,
     logged: LoggedKinds,
 }
 
 impl Watcher {
-    /// Watches at one address forever, on one connection after another.
+    /// Watches at one address, on one connection after another. Never returns.
     async fn watch_at(&mut self, address: SocketAddr) {
         let mut backoff = PollBackoff::new(self.timing);
         loop {
@@ -137,14 +146,14 @@
         }
     }
 
-    /// Connects and polls again and again until that fails.
+    /// Connects and polls until either fails.
     async fn watch_on_new_connection(
         &mut self, address: SocketAddr, backoff: &mut PollBackoff,
     ) -> Result<Infallible, WatchError> {
         let connecting = Connection::connect(address, CONNECT_TIMEOUT);
         let mut connection = connecting.await.map_err(|_| WatchError::ConnectFailed)?;
-        // The first poll does not wait: it shows at once whether the service responds, and returns what was
-        // missed.
+        // The first poll does not wait: it shows at once whether the service responds, and returns the
+        // changes since the last connection.
         let mut wait = Duration::ZERO;
         loop {
             let request = self.poll_request(address, wait)?;
@@ -171,15 +180,15 @@
         Request::get(uri).header(HOST, address.to_string()).body(Full::default())
     }
 
-    /// Records the version of a list. A delta of a lower version comes from a service that has restarted; the
-    /// next poll is for a snapshot then, as the restarted service may have other endpoints too.
+    /// Records the version of a list. A delta of a lower version is from a service that has restarted; the
+    /// next poll is for a snapshot then, as the restarted service may list other endpoints.
     fn update_known_version(&mut self, list: &EndpointList) {
         let restarted = !list.is_snapshot && self.known_version.is_some_and(|known| list.version < known);
         self.known_version = (!restarted).then_some(list.version);
     }
 }
 
-/// Sends one poll and returns the list that it brings.
+/// Sends one poll and returns the list in its response.
 async fn poll(
     connection: &mut Connection, request: Request<Full<Bytes>>, wait: Duration, backoff: &PollBackoff,
 ) -> Result<EndpointList, WatchError> {
--- a/gateway/src/endpoint/attempt.rs
+++ b/gateway/src/endpoint/attempt.rs
@@ -25,48 +25,48 @@
 
 /// The part of a client's request that is forwarded to endpoints.
 #[derive(Clone, Debug)]
-pub struct ForwardedRequest {
+pub(crate) struct ForwardedRequest {
     /// The method.
-    pub method: Method,
+    pub(crate) method: Method,
     /// Path and query, as received.
-    pub target: PathAndQuery,
+    pub(crate) target: PathAndQuery,
     /// The value of [`REQUEST_ID`].
-    pub request_id: HeaderValue,
+    pub(crate) request_id: HeaderValue,
     /// The value of [`IDEMPOTENCY_KEY`].
-    pub idempotency_key: Option<HeaderValue>,
+    pub(crate) idempotency_key: Option<HeaderValue>,
     /// The value of `Content-Type`.
-    pub content_type: Option<HeaderValue>,
+    pub(crate) content_type: Option<HeaderValue>,
     /// The body.
-    pub body: Bytes,
+    pub(crate) body: Bytes,
 }
 
 /// When an attempt must have ended.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptLimits {
+pub(crate) struct AttemptLimits {
     /// The attempt ends at this time at the latest, and nothing is written from then on.
-    pub deadline: Instant,
+    pub(crate) deadline: Instant,
     /// The request's last byte is written before this time, or the attempt is abandoned.
-    pub write_deadline: Option<Instant>,
+    pub(crate) write_deadline: Option<Instant>,
 }
 
 /// An endpoint's response with status 200.
 #[derive(Debug)]
-pub struct EndpointResponse {
+pub(crate) struct EndpointResponse {
     /// Its headers, without those that belong to the connection.
-    pub headers: HeaderMap,
+    pub(crate) headers: HeaderMap,
     /// Its body.
-    pub body: Bytes,
+    pub(crate) body: Bytes,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct AttemptResult {
+pub(crate) struct AttemptResult {
     /// How it ended.
-    pub outcome: Outcome,
+    pub(crate) outcome: Outcome,
     /// The response, if the request was served.
-    pub response: Option<EndpointResponse>,
+    pub(crate) response: Option<EndpointResponse>,
     /// The load report in the response's headers.
-    pub load_report: Option<LoadReport>,
+    pub(crate) load_report: Option<LoadReport>,
 }
 
 impl From<Outcome> for AttemptResult {
@@ -75,8 +75,8 @@
     }
 }
 
-/// One attempt: a request on its way to one endpoint.
-pub struct Attempt<'a> {
+/// One attempt to have a request served by one endpoint.
+pub(crate) struct Attempt<'a> {
     endpoint: &'a Name,
     request: ForwardedRequest,
     limits: AttemptLimits,
@@ -87,7 +87,7 @@
 impl<'a> Attempt<'a> {
     /// An attempt that is abandoned when `cancelled` resolves, and not started once the `client` has
     /// disconnected.
-    pub fn new(
+    pub(crate) fn new(
         endpoint: &'a Name, request: ForwardedRequest, limits: AttemptLimits,
         cancelled: oneshot::Receiver<()>, client: &'a SharedStream,
     ) -> Self {
@@ -95,7 +95,7 @@
     }
 
     /// Sends the request and returns how that ended, once the connection is closed or idle again.
-    pub async fn run(self, endpoints: &EndpointRegistry) -> AttemptResult {
+    pub(crate) async fn run(self, endpoints: &EndpointRegistry) -> AttemptResult {
         let began = Instant::now();
         // Whichever branch is chosen, the exchange is dropped, and its connection closed, before the result
         // is known.
@@ -130,8 +130,8 @@
         self.limits.write_deadline
     }
 
-    /// The connection may have been established in the same iteration of the event loop in which the client
-    /// disconnected, the attempt was cancelled, or its time ended: so each is checked.
+    /// The client may have disconnected, the attempt may have been cancelled, or its time may have ended, in
+    /// the iteration of the event loop in which the connection was established: so each is checked.
     async fn check_may_begin(&self) -> Result<(), Outcome> {
         if self.client.is_closed_by_peer().await || self.cancellation.is_requested() {
             return Err(Outcome::Cancelled);
@@ -186,7 +186,7 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_marked_rejected => {
             Outcome::Rejected
         }
-        // With any other status the endpoint may have run the request, whatever the header says.
+        // With any other status the endpoint may have run the request, whatever the value of the header.
         _ => Outcome::Error,
     };
     let load_report = headers
--- a/gateway/src/endpoint/connection_limit.rs
+++ b/gateway/src/endpoint/connection_limit.rs
@@ -25,7 +25,7 @@
         Some(ConnectionSlot(self.in_use.clone()))
     }
 
-    /// By how many connections the limit is exceeded if so many are idle.
+    /// The number of connections above the limit, with `idle` connections besides those in use.
     pub(super) fn excess(&self, idle: usize) -> usize {
         (self.in_use.get() + idle).saturating_sub(self.max_open)
     }
--- a/gateway/src/endpoint/connections.rs
+++ b/gateway/src/endpoint/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: reuse of idle ones, establishment of new ones, and their number.
+//! Connections to endpoints: reuse of idle ones, establishment of new ones, and the limit on their number.
 
 use crate::endpoint::connection_limit::{ConnectionLimit, ConnectionSlot};
 use crate::endpoint::pool::{IdleConnection, Pool};
@@ -27,7 +27,7 @@
     /// As many connections are in use as the gateway may open.
     #[error("the limit on connections in use is reached")]
     LimitReached,
-    /// This machine lacks something, such as file descriptors; this says nothing about the endpoint.
+    /// This machine lacks a resource, such as file descriptors. The endpoint is not at fault.
     #[error("the connection could not be started on this machine")]
     Local,
     /// The endpoint refused, could not be reached, or did not respond in time.
@@ -48,16 +48,17 @@
 pub(super) struct AcquiredConnection {
     /// The connection.
     pub(super) connection: Connection,
-    /// Where it leads to.
+    /// The address of the endpoint.
     pub(super) address: SocketAddr,
-    /// For how long it was idle before; `None` for a new one.
+    /// How long it was idle before it was acquired; `None` for a new one.
     pub(super) idle: Option<Duration>,
     slot: ConnectionSlot,
 }
 
-/// A connection that may be reused, and for how long it was idle.
+/// An idle connection that may be reused.
 struct ReusableConnection {
     connection: Connection,
+    /// How long it was idle.
     idle: Duration,
 }
 
--- a/gateway/src/endpoint/exchange.rs
+++ b/gateway/src/endpoint/exchange.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 /// The largest body of a request or a response, in bytes.
-pub const MAX_BODY_BYTES: usize = 64 * 1024;
+pub(crate) const MAX_BODY_BYTES: usize = 64 * 1024;
 /// A response must be complete this long after its first byte: it is small and ready when that is written.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 
@@ -37,7 +37,7 @@
 /// It is written once. Dropping the future closes the connection.
 ///
 /// # Errors
-/// When there is no response that can be used; says what is known of the request's fate.
+/// When there is no response that can be used. The outcome shows whether the request may have run.
 pub(super) async fn exchange(
     endpoints: &EndpointRegistry, endpoint: &Name, request: &impl EndpointRequest,
 ) -> Result<Response<Bytes>, Outcome> {
@@ -52,7 +52,7 @@
         let message = request.build(acquired.address).map_err(|_| Outcome::NotSent)?;
         let limits = exchange_limits(request.write_deadline());
         let result = acquired.connection.exchange(message, limits).await;
-        endpoints.connections().record_exchange(acquired.idle, connection_health(&result));
+        endpoints.connections().record_exchange(acquired.idle, exchange_result(&result));
         match result {
             Ok(response) => {
                 endpoints.record_response(endpoint, acquired).await;
@@ -73,7 +73,7 @@
     let address = endpoints.ready_address(endpoint).ok_or(Outcome::NotSent)?;
     let acquired = endpoints.connections().acquire(endpoint, address, idempotency).await;
     acquired.map_err(|error| match error {
-        // Says nothing about the endpoint, which must not be ejected for it.
+        // The endpoint is not at fault and must not be ejected for it.
         AcquireError::LimitReached | AcquireError::Local => Outcome::NotSent,
         AcquireError::Unreachable => Outcome::ConnectFailed,
     })
@@ -83,8 +83,8 @@
     ExchangeLimits { max_body_bytes: MAX_BODY_BYTES, response_timeout: RESPONSE_TIMEOUT, write_deadline }
 }
 
-/// What the end of an exchange says about connections of its kind.
-fn connection_health<T>(result: &Result<T, ExchangeError>) -> ExchangeResult {
+/// Classifies the end of an exchange for the estimate of stale connections.
+fn exchange_result<T>(result: &Result<T, ExchangeError>) -> ExchangeResult {
     match result {
         Err(ExchangeError::Sent | ExchangeError::PartlySent) => ExchangeResult::ConnectionBroke,
         Ok(_) | Err(ExchangeError::NotSent | ExchangeError::InvalidResponse) => ExchangeResult::Other,
@@ -96,8 +96,8 @@
     match error {
         ExchangeError::NotSent | ExchangeError::PartlySent => Outcome::ConnectFailed,
         ExchangeError::Sent => Outcome::ConnectionReset,
-        // The endpoint is alive and may have run the request. No worse than an error response: endpoints that
-        // all respond alike must not all be ejected for it.
+        // The endpoint is alive and may have run the request. It counts as an error response, so that a fault
+        // common to all endpoints does not eject all of them.
         ExchangeError::InvalidResponse => Outcome::Error,
     }
 }
--- a/gateway/src/endpoint/health_check.rs
+++ b/gateway/src/endpoint/health_check.rs
@@ -16,11 +16,11 @@
 
 /// How a health check ended.
 #[derive(Debug)]
-pub struct HealthCheckResult {
+pub(crate) struct HealthCheckResult {
     /// How it ended.
-    pub outcome: Outcome,
+    pub(crate) outcome: Outcome,
     /// The load report in the response's body.
-    pub load_report: Option<LoadReport>,
+    pub(crate) load_report: Option<LoadReport>,
 }
 
 impl From<Outcome> for HealthCheckResult {
@@ -30,7 +30,7 @@
 }
 
 /// Checks an endpoint's health; this may take as long as a new connection may.
-pub async fn check_health(endpoints: &EndpointRegistry, endpoint: &Name) -> HealthCheckResult {
+pub(crate) async fn check_health(endpoints: &EndpointRegistry, endpoint: &Name) -> HealthCheckResult {
     let path = match endpoints.load_report_source() {
         LoadReportSource::None => LIVENESS_PATH,
         LoadReportSource::Responses | LoadReportSource::HealthChecks => LOAD_REPORT_PATH,
--- a/gateway/src/endpoint/pool.rs
+++ b/gateway/src/endpoint/pool.rs
@@ -1,4 +1,5 @@
-//! Idle connections by endpoint. Memory and time follow the connections kept, not the endpoints known.
+//! Idle connections by endpoint. Memory and time are proportional to the idle connections, not to the
+//! endpoints.
 
 use rustc_hash::FxHashMap;
 use ryefront_policy::Name;
@@ -38,7 +39,7 @@
         self.count == 0
     }
 
-    /// Adds a connection that has been idle since then.
+    /// Adds a connection that has been idle since `idle_since`.
     pub fn put(&mut self, endpoint: &Name, connection: T, idle_since: Instant) {
         let idle = IdleConnection { connection, idle_since };
         self.by_endpoint.entry(endpoint.clone()).or_default().push(idle);
--- a/gateway/src/endpoint/registry.rs
+++ b/gateway/src/endpoint/registry.rs
@@ -1,4 +1,4 @@
-//! The endpoints that the gateway knows: addresses and readiness by the endpoint list.
+//! The endpoints in the endpoint list: their addresses and readiness.
 
 use crate::discovery::{EndpointList, ListedEndpoint};
 use crate::endpoint::connections::{AcquiredConnection, EndpointConnections};
@@ -24,7 +24,7 @@
     listed_in: u64,
 }
 
-/// All endpoints that the gateway knows, and the connections to them.
+/// All endpoints in the endpoint list, and the connections to them.
 pub struct EndpointRegistry {
     endpoints: RefCell<FxHashMap<Name, Endpoint>>,
     /// The number of endpoint lists applied.
@@ -44,8 +44,8 @@
         })
     }
 
-    /// Applies an endpoint list, in time proportional to its length; a snapshot, besides, in time
-    /// proportional to the number of endpoints. Idle connections to endpoints that are draining or removed or
+    /// Applies an endpoint list. A delta takes time proportional to its length, a snapshot also to the number
+    /// of endpoints known before. Idle connections to endpoints that are draining or removed or
     /// have moved to another address are closed.
     pub fn apply(&self, list: &EndpointList) {
         let list_number = self.applied_lists.get() + 1;
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Closes idle connections that have expired or that their endpoint has closed, once in a while. Never
+    /// Closes idle connections that have expired or that their endpoint has closed, at an interval. Never
     /// returns.
     pub async fn maintain_connections(self: Rc<Self>) {
         loop {
--- a/gateway/src/endpoint/stale_connections.rs
+++ b/gateway/src/endpoint/stale_connections.rs
@@ -1,4 +1,5 @@
-//! Whether an idle connection may be reused, by how often connections of its idle time broke.
+//! Whether an idle connection may be reused, by how often requests on connections of similar idle time
+//! failed.
 //!
 //! Endpoints, and whatever lies between, may drop idle connections earlier than configured, and some show it
 //! only when the next request is written: until then the socket looks healthy. The estimator compares how
@@ -32,7 +33,7 @@
 }
 
 impl StaleEstimator {
-    /// Records an exchange on a connection that had been idle that long, or on a new one.
+    /// Records an exchange on a connection that had been idle for this time, or on a new one.
     pub(super) fn record(&mut self, idle: Option<Duration>, result: ExchangeResult) {
         let failure = match result {
             ExchangeResult::ConnectionBroke => 1.0,
@@ -42,7 +43,7 @@
         *rate += SAMPLE_WEIGHT * (failure - *rate);
     }
 
-    /// Whether a connection that has been idle that long may carry a request.
+    /// Whether a connection that has been idle for this time may carry a request.
     pub(super) fn allows_reuse(&mut self, idle: Duration, idempotency: Idempotency) -> bool {
         let margin = match idempotency {
             Idempotency::Idempotent | Idempotency::WithKey => FAILURE_MARGIN,
@@ -57,10 +58,10 @@
     }
 }
 
-/// How an exchange ended, as far as it says something about its connection.
+/// How an exchange ended, as far as its connection is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExchangeResult {
-    /// The connection broke after part of the request was written and before anything came back.
+    /// The connection broke after part of the request was written and before any byte of a response.
     ConnectionBroke,
     /// Anything else.
     Other,
--- a/gateway/src/engine.rs
+++ b/gateway/src/engine.rs
@@ -23,14 +23,14 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-pub use crate::request_table::{FinalAnswer, SubmittedRequest};
+pub(crate) use crate::request_table::{FinalAnswer, SubmittedRequest};
 
 /// A counter call is abandoned after this many times the settings' counter timeout. A counter that is merely
-/// slow still adds, and a lease block whose call was abandoned is used by nobody. No request waits as long:
+/// slow still adds the amount, and a lease block whose call was abandoned is lost. No request waits as long:
 /// the policy bounds its wait by its latency objective.
 const COUNTER_TIMEOUT_MULTIPLE: u32 = 4;
 
-/// Runs the policy.
+/// Runs the policy: the only place where events reach it and its actions are performed.
 pub struct Engine {
     clock: Clock,
     fleet_clock: FleetClockSync,
@@ -46,7 +46,8 @@
 }
 
 impl Engine {
-    /// Starts an engine without requests or endpoints; without a counter, if there is no address of one.
+    /// Starts an engine without requests or endpoints. Without the address of a counter, all calls to it
+    /// fail.
     ///
     /// # Errors
     /// When the settings cannot be used.
@@ -71,14 +72,14 @@
     }
 
     /// Makes further counter calls to another address.
-    pub fn move_counter(&self, address: SocketAddr) {
+    pub(crate) fn migrate_counter(&self, address: SocketAddr) {
         if let Some(counter) = &self.counter {
             counter.migrate_to(address);
         }
     }
 
     /// Submits a request of the client with this socket. Its attempts end by the deadline.
-    pub fn submit(
+    pub(crate) fn submit(
         &self, arrival: impl FnOnce(RequestId) -> Arrival, request: ForwardedRequest, client: SharedStream,
         deadline: Instant,
     ) -> SubmittedRequest {
@@ -88,7 +89,7 @@
     }
 
     /// Removes a request whose client has disconnected and cancels its attempt.
-    pub fn client_disconnected(&self, id: RequestId) {
+    pub(crate) fn client_disconnected(&self, id: RequestId) {
         let was_in_progress = {
             let mut requests = self.requests.borrow_mut();
             requests.cancel_any_attempt(id);
@@ -99,21 +100,21 @@
         }
     }
 
-    /// Returns the unused part of the leased quotas, as no more requests come. Resolves after `time`, by when
-    /// the counter has usually replied.
-    pub async fn return_leases(&self, time: Duration) {
+    /// Returns unused leased units, as no more requests will arrive. Resolves after `time`, by when the
+    /// counter has usually replied.
+    pub(crate) async fn return_leases(&self, time: Duration) {
         self.post(Event::DrainStarted);
         sleep(time).await;
     }
 
     /// The number of requests without a final answer.
-    pub fn requests_in_progress(&self) -> usize {
+    pub(crate) fn requests_in_progress(&self) -> usize {
         self.requests.borrow().len()
     }
 
     /// Posts an event and performs the actions it leads to. Events posted by these actions are queued, so the
     /// policy never handles one while the actions of another are performed.
-    pub fn post(&self, event: Event) {
+    fn post(&self, event: Event) {
         self.events.borrow_mut().push_back(event);
         if self.is_handling_events.replace(true) {
             return;
@@ -165,7 +166,7 @@
             let attempt = Attempt::new(&endpoint, request, limits, cancelled, &client);
             let result = attempt.run(&endpoints).await;
             // Checked before the policy is notified of the end, so that it starts no retry for a client that
-            // has gone.
+            // has disconnected.
             let has_client_left = result.response.is_none() && client.is_closed_by_peer().await;
             let Some(engine) = weak_self.upgrade() else { return };
             if has_client_left {
--- a/gateway/src/fleet_clock.rs
+++ b/gateway/src/fleet_clock.rs
@@ -14,35 +14,35 @@
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// One gateway's synchronization with the fleet's clock.
-pub struct FleetClockSync {
+pub(crate) struct FleetClockSync {
     local: Clock,
     fleet: RefCell<FleetClock>,
 }
 
 impl FleetClockSync {
     /// Not synchronized yet. The seed spreads the gateways' calls.
-    pub fn new(gateway_count: u32, seed: u64, local: Clock) -> Self {
+    pub(crate) fn new(gateway_count: u32, seed: u64, local: Clock) -> Self {
         let fleet = FleetClock::new(gateway_count, seed, local.now());
         Self { local, fleet: RefCell::new(fleet) }
     }
 
     /// Whether replies to calls of this counter key are for [`Self::record_reply`].
-    pub fn uses_key(key: u64) -> bool {
+    pub(crate) fn uses_key(key: u64) -> bool {
         key == FleetClock::register()
     }
 
     /// Whether there are other gateways to synchronize with.
-    pub fn is_shared(&self) -> bool {
+    pub(crate) fn is_shared(&self) -> bool {
         self.fleet.borrow().is_shared()
     }
 
-    /// What is known of the fleet's time.
-    pub fn time(&self) -> FleetTime {
+    /// The fleet's time, as far as this gateway is synchronized.
+    pub(crate) fn time(&self) -> FleetTime {
         self.fleet.borrow().time()
     }
 
     /// Makes the next call of the counter if it is due.
-    pub fn poll(&self, counter: &CounterClient) {
+    pub(crate) fn poll(&self, counter: &CounterClient) {
         // Not borrowed during the call: a call that fails at once is reported before it returns.
         let call = self.fleet.borrow_mut().poll(self.local.now());
         if let Some(call) = call {
@@ -50,15 +50,15 @@
         }
     }
 
-    /// Records the reply to a call; returns what is known of the fleet's time now.
-    pub fn record_reply(&self, result: CounterResult) -> FleetTime {
+    /// Records the reply to a call, and returns the fleet's time as [`Self::time`] does.
+    pub(crate) fn record_reply(&self, result: CounterResult) -> FleetTime {
         let mut fleet = self.fleet.borrow_mut();
         fleet.answered(self.local.now(), result);
         fleet.time()
     }
 
     /// How long to wait before the next poll.
-    pub fn time_to_next_poll(&self) -> Duration {
+    pub(crate) fn time_to_next_poll(&self) -> Duration {
         let due = self.fleet.borrow().due();
         duration(due - self.local.now()).max(MIN_POLL_INTERVAL)
     }
--- a/gateway/src/http_connection/exchange_state.rs
+++ b/gateway/src/http_connection/exchange_state.rs
@@ -37,7 +37,7 @@
     /// When the response began, or the interim response that has not ended yet. Interim responses may precede
     /// the final one by any time.
     response_began_at: Cell<Option<Instant>>,
-    /// The bytes received of a head that may be that of an interim response; it may come in several reads.
+    /// The bytes received of a head that may be that of an interim response; it may arrive in several reads.
     interim_head: RefCell<Vec<u8>>,
     /// Whether the final response has begun.
     is_final: Cell<bool>,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Resolves once a response, or an interim response, has not ended so long after its first byte.
+    /// Resolves once a response, or an interim response, has not ended within `timeout` of its first byte.
     pub(super) async fn response_overdue(&self, timeout: Duration) {
         loop {
             let Some(began_at) = self.response_began_at.get() else {
--- a/gateway/src/http_connection/mod.rs
+++ b/gateway/src/http_connection/mod.rs
@@ -60,7 +60,7 @@
         Ok(Self { sender, driver: Some(Box::pin(driver)), socket, state })
     }
 
-    /// Whether the idle connection is alive. Asks the kernel, as the event loop may not have been notified
+    /// Whether the idle connection is alive. Queries the kernel, as the event loop may not have been notified
     /// yet. A connection with unrequested data to read is not usable either.
     pub fn is_alive(&self) -> bool {
         let peeked = self.socket.peek();
--- a/gateway/src/instrumented_stream.rs
+++ b/gateway/src/instrumented_stream.rs
@@ -1,7 +1,7 @@
 //! A socket that reports to an observer what passes through it.
 //!
-//! The HTTP library hides the bytes that it reads and writes, but timeouts, the check of request heads and the
-//! decision about a retry depend on them.
+//! The HTTP library hides the bytes that it reads and writes, but timeouts, the check of request heads and
+//! the decision about a retry depend on them.
 
 use crate::socket::SharedStream;
 use std::io;
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -4,7 +4,7 @@
 
 use ryefront_gateway::client::Server;
 use ryefront_gateway::config::Config;
-use ryefront_gateway::discovery::{EndpointListSink, watch_endpoints};
+use ryefront_gateway::discovery::{EndpointListSink, WatchSettings, watch_endpoints};
 use ryefront_gateway::endpoint::{EndpointRegistry, EndpointSettings};
 use ryefront_gateway::engine::Engine;
 use ryefront_gateway::log;
@@ -34,15 +34,15 @@
     // First of all: until then a signal ends the process.
     let signals = startup::retry_local_errors(Signals::install).map_err(StartupError::Signals)?;
     let config = Config::load()?;
-    let runtime = || tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = startup::retry_local_errors(runtime).map_err(StartupError::EventLoop)?;
+    let build_runtime = || tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = startup::retry_local_errors(build_runtime).map_err(StartupError::EventLoop)?;
     LocalSet::new().block_on(&runtime, run(config, Rc::new(signals)))
 }
 
 async fn run(config: Config, signals: Rc<Signals>) -> Result<(), StartupError> {
     let listener = startup::listen(config.listen)?;
-    let watched = signals.clone();
-    spawn(async move { watched.forward().await });
+    let forwarded = signals.clone();
+    spawn(async move { forwarded.forward().await });
 
     let sockets = SocketBudget::new(config.max_sockets);
     let endpoints = EndpointRegistry::new(EndpointSettings {
@@ -54,11 +54,16 @@
     let engine = Engine::start(config.settings.clone(), config.seed, endpoints.clone(), config.counter)?;
     let server = Server::new(engine.clone(), &config.settings, sockets.clients);
 
-    let version = config.cached_endpoints.version;
+    let (discovery_address, address) = watch::channel(config.discovery);
+    let watch = WatchSettings {
+        address,
+        cached_version: config.cached_endpoints.version,
+        seed: config.seed,
+        timing: config.poll_timing,
+    };
     engine.apply(config.cached_endpoints);
     spawn(endpoints.maintain_connections());
-    let (discovery_address, addresses) = watch::channel(config.discovery);
-    spawn(watch_endpoints(addresses, version, config.seed, config.poll_timing, engine.clone()));
+    spawn(watch_endpoints(watch, engine.clone()));
     spawn(reload_on_sighup(signals.clone(), discovery_address, engine));
 
     if let Ok(address) = listener.local_addr() {
--- a/gateway/src/reload.rs
+++ b/gateway/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration again at each SIGHUP.
+//! Reloads the configuration at each SIGHUP.
 //!
 //! The addresses of discovery and counter in it are used at once; the other values apply at the next start. A
 //! configuration that cannot be used changes nothing.
@@ -13,10 +13,10 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// How long a configuration that cannot be used is read again: the file may be incomplete at the signal, and
-/// no second signal follows. Changes of addresses count as notified 4 s after the signal.
+/// How long the reload of a configuration that cannot be used is retried: the file may be incomplete at the
+/// signal, and no second signal follows. New addresses are expected to be in use 4 s after the signal.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(3);
-/// The pause between two attempts to read it.
+/// The pause between two retries.
 const RELOAD_PAUSE: Duration = Duration::from_millis(100);
 
 /// Reloads the configuration at each SIGHUP, for as long as the program runs.
@@ -31,7 +31,7 @@
     }
 }
 
-/// Reads the configuration, again while it cannot be used. Logs the first error.
+/// Reads the configuration, with retries while it cannot be used. Logs the first error.
 async fn read_config() -> Option<Config> {
     let started = Instant::now();
     let mut error_logged = false;
@@ -52,7 +52,7 @@
 fn apply(config: &Config, discovery: &watch::Sender<SocketAddr>, engine: &Engine) {
     discovery.send_if_modified(|address| std::mem::replace(address, config.discovery) != config.discovery);
     if let Some(counter) = config.counter {
-        engine.move_counter(counter);
+        engine.migrate_counter(counter);
     }
     log::write(format_args!("configuration read again: discovery at {}", config.discovery));
 }
--- a/gateway/src/request_table.rs
+++ b/gateway/src/request_table.rs
@@ -10,7 +10,7 @@
 
 /// The final answer to a request.
 #[derive(Debug)]
-pub enum FinalAnswer {
+pub(crate) enum FinalAnswer {
     /// An endpoint served the request.
     Served(EndpointResponse),
     /// The request was rejected; a retry is harmless.
@@ -49,11 +49,11 @@
 }
 
 /// A request that was submitted.
-pub struct SubmittedRequest {
+pub(crate) struct SubmittedRequest {
     /// The id by which the policy refers to it.
-    pub id: RequestId,
+    pub(crate) id: RequestId,
     /// Receives the final answer, unless the request is removed before.
-    pub final_answer: oneshot::Receiver<FinalAnswer>,
+    pub(crate) final_answer: oneshot::Receiver<FinalAnswer>,
 }
 
 /// An attempt that has not ended.
--- a/gateway/src/signals.rs
+++ b/gateway/src/signals.rs
@@ -58,7 +58,7 @@
         Ok(Self { termination, reload, wake_ups })
     }
 
-    /// Passes signals on to the tasks that wait for them, forever.
+    /// Passes signals on to the tasks that wait for them. Never returns.
     pub async fn forward(&self) {
         let pipe = self.wake_ups.try_clone().and_then(UnixStream::from_std);
         loop {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Resolves once the process is asked to terminate.
+    /// Resolves once a signal requests the termination of the process.
     pub async fn termination_requested(&self) {
         self.termination.set.notified().await;
     }
@@ -86,7 +86,7 @@
     }
 }
 
-/// Waits for wake-ups and discards those that have come.
+/// Waits for wake-ups and discards those that have arrived.
 async fn drain_pipe(pipe: &UnixStream) {
     if pipe.readable().await.is_err() {
         return std::future::pending().await;
--- a/gateway/src/socket.rs
+++ b/gateway/src/socket.rs
@@ -35,19 +35,19 @@
 
 /// Whether a call on a stream failed for a reason that lies neither with the peer nor with the connection. It
 /// may be made again.
-pub fn is_transient(error: &io::Error) -> bool {
+pub(crate) fn is_transient(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::Interrupted || is_out_of_memory(error)
 }
 
 /// Whether a call failed because this machine lacks a resource: descriptors, memory, local ports, a route.
-pub fn is_local_error(error: &io::Error) -> bool {
+pub(crate) fn is_local_error(error: &io::Error) -> bool {
     is_transient(error) || error.raw_os_error().is_some_and(|errno| LOCAL_ERRNOS.contains(&errno))
 }
 
 /// Why no connection was established.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// This machine lacks a resource. That says nothing about the peer.
+    /// This machine lacks a resource. The peer is not at fault.
     #[error("no connection could be started: {0}")]
     Local(#[source] io::Error),
     /// The peer refused the connection or is unreachable.
@@ -58,17 +58,16 @@
     TimedOut,
 }
 
-/// Connects within `time_limit`. Attempts that fail for a local reason are retried until then.
+/// Connects within `timeout`. Attempts that fail for a local reason are retried until then.
 ///
 /// # Errors
 /// When no connection is established in time.
-pub async fn connect(address: SocketAddr, time_limit: Duration) -> Result<TcpStream, ConnectError> {
-    let deadline = Instant::now() + time_limit;
+pub(crate) async fn connect(address: SocketAddr, timeout: Duration) -> Result<TcpStream, ConnectError> {
+    let deadline = Instant::now() + timeout;
     loop {
         let error = match timeout_at(deadline, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => {
-                // Without the option small writes may be delayed, which is no reason to close the connection.
-                let _ = stream.set_nodelay(true);
+                disable_write_delay(&stream);
                 return Ok(stream);
             }
             Ok(Err(error)) => error,
@@ -84,6 +83,12 @@
     }
 }
 
+/// Has the kernel send small writes at once. A failure is ignored: delayed writes are no reason to close the
+/// connection.
+pub(crate) fn disable_write_delay(stream: &TcpStream) {
+    let _ = stream.set_nodelay(true);
+}
+
 /// A stream that is shared between the HTTP library, which reads and writes it, and its owner, who checks its
 /// state.
 #[derive(Clone)]
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -6,7 +6,7 @@
 use ryefront_gateway::discovery::backoff::{
     CONNECT_TIMEOUT, DiscoveryService, PollBackoff, PollFailure, PollTiming,
 };
-use ryefront_gateway::discovery::{EndpointList, watch_endpoints};
+use ryefront_gateway::discovery::{EndpointList, WatchSettings, watch_endpoints};
 use ryefront_gateway::endpoint::{EndpointRegistry, EndpointSettings};
 use ryefront_gateway::engine::Engine;
 use ryefront_policy::LoadReportSource;
@@ -155,7 +155,8 @@
         });
         let engine = Engine::start(settings, seed, endpoints, None).expect("an engine");
         let (_moved, address) = watch::channel(at);
-        tokio::task::spawn_local(watch_endpoints(address, 1, seed, pace, engine));
+        let watch = WatchSettings { address, cached_version: 1, seed, timing: pace };
+        tokio::task::spawn_local(watch_endpoints(watch, engine));
         let start = Instant::now();
         while start.elapsed() < refuses {
             step().await;
