--- a/gateway/src/client/response.rs
+++ b/gateway/src/client/response.rs
@@ -114,8 +114,8 @@
             response
         }
         FinalAnswer::Rejected { retry_after } => rejected(retry_after),
-        FinalAnswer::Failed { timed_out: false } => failed(),
-        FinalAnswer::Failed { timed_out: true } => timed_out(),
+        FinalAnswer::Failed => failed(),
+        FinalAnswer::TimedOut => timed_out(),
     }
 }
 
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -102,6 +102,22 @@
     max_sockets: Option<usize>,
 }
 
+/// Which value applies where both a variable and the file have one.
+#[derive(Clone, Copy)]
+enum Precedence {
+    Variable,
+    File,
+}
+
+impl Precedence {
+    fn choose(self, in_variable: Option<String>, in_file: Option<String>) -> Option<String> {
+        match self {
+            Self::Variable => in_variable.or(in_file),
+            Self::File => in_file.or(in_variable),
+        }
+    }
+}
+
 /// The configuration of a gateway.
 #[derive(Debug)]
 pub struct Config {
@@ -135,7 +151,7 @@
     /// # Errors
     /// When it cannot be used.
     pub fn load() -> Result<Self, ConfigError> {
-        Self::read(|variable, file| variable.or(file))
+        Self::read(Precedence::Variable)
     }
 
     /// Reads the configuration while the program runs: the file takes precedence, as the variables are from
@@ -144,16 +160,15 @@
     /// # Errors
     /// When it cannot be used.
     pub fn reload() -> Result<Self, ConfigError> {
-        Self::read(|variable, file| file.or(variable))
+        Self::read(Precedence::File)
     }
 
-    /// Reads variables and file; `choose` selects between the values that both have.
-    fn read(choose: impl Fn(Option<String>, Option<String>) -> Option<String>) -> Result<Self, ConfigError> {
+    fn read(precedence: Precedence) -> Result<Self, ConfigError> {
         let path = std::env::var_os(FILE_VARIABLE).ok_or(ConfigError::FileNotNamed)?;
         let path = Path::new(&path);
         let text = std::fs::read_to_string(path)
             .map_err(|source| ConfigError::Unreadable { path: path.into(), source })?;
-        Self::parse(&text, |variable, file| choose(std::env::var(variable).ok(), file))
+        Self::parse(&text, |variable, in_file| precedence.choose(std::env::var(variable).ok(), in_file))
             .map_err(|source| ConfigError::Invalid { path: path.into(), source })
     }
 
--- a/gateway/src/endpoint/pool.rs
+++ b/gateway/src/endpoint/pool.rs
@@ -62,8 +62,9 @@
     /// Drops the oldest connection of the endpoint that has the most, if there are any.
     pub fn evict(&mut self) {
         let fullest = self.by_endpoint.iter().max_by_key(|(_, connections)| connections.len());
-        let fullest = fullest.map(|(endpoint, _)| endpoint.clone());
-        fullest.and_then(|endpoint| self.remove(&endpoint, 0));
+        if let Some(endpoint) = fullest.map(|(endpoint, _)| endpoint.clone()) {
+            self.remove(&endpoint, 0);
+        }
     }
 
     /// Drops the connections for which `keep` returns false.
--- a/gateway/src/engine.rs
+++ b/gateway/src/engine.rs
@@ -134,11 +134,7 @@
                 self.forward_attempt(id, endpoint, AttemptTimeouts { total: timeout, write: write_timeout });
             }
             Action::Reject { id, retry_after } => self.finish(id, |_| FinalAnswer::Rejected { retry_after }),
-            Action::Fail { id } => {
-                self.finish(id, |request| FinalAnswer::Failed {
-                    timed_out: request.last_attempt_timed_out(),
-                });
-            }
+            Action::Fail { id } => self.finish(id, RequestInProgress::failure),
             Action::CancelAttempt { id, attempt } => self.requests.borrow_mut().cancel_attempt(id, attempt),
             Action::SetTimer { after, token } => self.set_timer(after, token),
             Action::HealthCheck { endpoint } => self.check_health(endpoint),
--- a/gateway/src/request_table.rs
+++ b/gateway/src/request_table.rs
@@ -19,10 +19,9 @@
         retry_after: Millis,
     },
     /// The request failed and may have run.
-    Failed {
-        /// Whether its last attempt timed out.
-        timed_out: bool,
-    },
+    Failed,
+    /// The request failed, as its last attempt timed out, and may have run.
+    TimedOut,
 }
 
 /// A request without a final answer.
@@ -36,9 +35,9 @@
 }
 
 impl RequestInProgress {
-    /// Whether the attempt that ended last timed out.
-    pub(crate) fn last_attempt_timed_out(&self) -> bool {
-        self.last_attempt_timed_out
+    /// The final answer if there are no further attempts.
+    pub(crate) fn failure(&self) -> FinalAnswer {
+        if self.last_attempt_timed_out { FinalAnswer::TimedOut } else { FinalAnswer::Failed }
     }
 
     /// Passes the final answer on to the client.
@@ -166,13 +165,18 @@
 
     /// Cancels the attempt with this number, if it is in flight.
     pub(crate) fn cancel_attempt(&mut self, id: RequestId, number: u32) {
-        let attempt = self.attempts.get_mut(&id).filter(|attempt| attempt.number == number);
-        attempt.map(AttemptInFlight::cancel);
+        if let Some(attempt) = self.attempts.get_mut(&id)
+            && attempt.number == number
+        {
+            attempt.cancel();
+        }
     }
 
     /// Cancels the attempt of a request, if one is in flight.
     pub(crate) fn cancel_any_attempt(&mut self, id: RequestId) {
-        self.attempts.get_mut(&id).map(AttemptInFlight::cancel);
+        if let Some(attempt) = self.attempts.get_mut(&id) {
+            attempt.cancel();
+        }
     }
 
     /// Removes the attempt of a request that has ended.
--- a/gateway/src/signals.rs
+++ b/gateway/src/signals.rs
@@ -21,14 +21,14 @@
 #[derive(Default)]
 struct SignalFlag {
     is_set: Arc<AtomicBool>,
-    set: Notify,
+    waiter: Notify,
 }
 
 impl SignalFlag {
     /// Clears the flag, and notifies the waiting task if it was set.
     fn forward(&self) {
         if self.is_set.swap(false, Ordering::SeqCst) {
-            self.set.notify_one();
+            self.waiter.notify_one();
         }
     }
 }
@@ -76,13 +76,13 @@
 
     /// Resolves once a signal requests the termination of the process.
     pub async fn termination_requested(&self) {
-        self.termination.set.notified().await;
+        self.termination.waiter.notified().await;
     }
 
     /// Resolves once the configuration is to be reloaded. Several signals in a row may resolve it only
     /// once, after the last of them.
     pub async fn reload_requested(&self) {
-        self.reload.set.notified().await;
+        self.reload.waiter.notified().await;
     }
 }
 
