--- a/gateway/src/socket.rs
+++ b/gateway/src/socket.rs
@@ -13,7 +13,7 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// The delay before a connection is attempted again that failed for a local reason.
+/// The delay before a connection attempt that failed for a local reason is retried.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Local failures that are not transient: descriptors, local ports or a route are missing.
