--- a/gateway/src/client/connection_table.rs
+++ b/gateway/src/client/connection_table.rs
@@ -2,7 +2,7 @@
 //!
 //! Clients that connect, send one request and keep the connection could use up the connections, and others
 //! would wait in the accept queue. So from half of the limit on, each new connection evicts an idle one.
-//! Clients with many connections that send requests rarely pay for it with reconnects.
+//! Clients that send requests on many connections rarely have to reconnect because of it.
 
 use crate::client::connection_state::ConnectionState;
 use std::cell::RefCell;
@@ -30,7 +30,7 @@
 
 impl EvictionRank {
     fn of(connection: &ConnectionState, now: Instant) -> Self {
-        if connection.is_answered() {
+        if connection.has_responded() {
             Self::IdleAfterResponse
         } else if now.duration_since(connection.idle_since()) < NEW_CONNECTION_AGE {
             Self::New
@@ -57,7 +57,7 @@
     }
 
     pub(super) fn remove(&self, connection: &Rc<ConnectionState>) {
-        self.connections.borrow_mut().retain(|c| !Rc::ptr_eq(c, connection));
+        self.connections.borrow_mut().retain(|other| !Rc::ptr_eq(other, connection));
         self.removed.notify_one();
     }
 
@@ -92,13 +92,15 @@
         // New connections are evicted at the limit only: below it the others may all be busy, and the new
         // ones would be the only candidates.
         let spares_new = connections.len() < self.max_connections;
+        let is_candidate = |connection: &&Rc<ConnectionState>| {
+            let is_spared = spares_new && EvictionRank::of(connection, now) == EvictionRank::New;
+            connection.is_idle() && !connection.is_evicted() && !is_spared
+        };
         let candidate = connections
             .iter()
-            .filter(|c| c.is_idle() && !c.is_evicted())
-            .map(|c| (EvictionRank::of(c, now), c))
-            .filter(|(rank, _)| !(spares_new && *rank == EvictionRank::New))
-            .min_by_key(|(rank, c)| (*rank, c.idle_since()));
-        if let Some((_, connection)) = candidate {
+            .filter(is_candidate)
+            .min_by_key(|connection| (EvictionRank::of(connection, now), connection.idle_since()));
+        if let Some(connection) = candidate {
             connection.evict();
         }
     }
--- a/gateway/src/endpoint/connections.rs
+++ b/gateway/src/endpoint/connections.rs
@@ -1,7 +1,8 @@
-//! Connections to endpoints: reuse of idle ones, establishment of new ones, and their number.
+//! Connections to endpoints: reuse of idle ones, establishment of new ones, and the limit on their number.
 
 use crate::endpoint::connection_limit::{ConnectionLimit, ConnectionSlot};
 use crate::endpoint::pool::{IdleConnection, Pool};
+use crate::endpoint::settings::EndpointSettings;
 use crate::endpoint::stale_connections::{ExchangeResult, StaleEstimator};
 use crate::http_connection::Connection;
 use crate::socket::ConnectError;
@@ -26,7 +27,7 @@
     /// As many connections are in use as the gateway may open.
     #[error("the limit on connections in use is reached")]
     LimitReached,
-    /// This machine lacks something, such as file descriptors; this says nothing about the endpoint.
+    /// This machine lacks a resource, such as file descriptors. The endpoint is not at fault.
     #[error("the connection could not be started on this machine")]
     Local,
     /// The endpoint refused, could not be reached, or did not respond in time.
@@ -47,16 +48,17 @@
 pub(super) struct AcquiredConnection {
     /// The connection.
     pub(super) connection: Connection,
-    /// Where it leads to.
+    /// The address of the endpoint.
     pub(super) address: SocketAddr,
-    /// For how long it was idle before; `None` for a new one.
+    /// How long it was idle before it was acquired; `None` for a new one.
     pub(super) idle: Option<Duration>,
     slot: ConnectionSlot,
 }
 
-/// A connection that may be reused, and for how long it was idle.
+/// An idle connection that may be reused.
 struct ReusableConnection {
     connection: Connection,
+    /// How long it was idle.
     idle: Duration,
 }
 
@@ -70,15 +72,14 @@
 }
 
 impl EndpointConnections {
-    /// No connections yet; at most `max_open` to all endpoints together. Endpoints close connections that
-    /// were idle for `endpoint_idle_timeout`.
-    pub(super) fn new(connect_timeout: Duration, endpoint_idle_timeout: Duration, max_open: usize) -> Self {
+    /// No connections yet.
+    pub(super) fn new(settings: EndpointSettings) -> Self {
         Self {
             pool: RefCell::default(),
-            limit: ConnectionLimit::new(max_open),
+            limit: ConnectionLimit::new(settings.max_connections),
             stale_estimator: RefCell::default(),
-            connect_timeout,
-            max_idle: endpoint_idle_timeout.mul_f64(MAX_IDLE_FRACTION),
+            connect_timeout: settings.connect_timeout,
+            max_idle: settings.endpoint_idle_timeout.mul_f64(MAX_IDLE_FRACTION),
         }
     }
 
--- a/gateway/src/request_table.rs
+++ b/gateway/src/request_table.rs
@@ -10,7 +10,7 @@
 
 /// The final answer to a request.
 #[derive(Debug)]
-pub enum FinalAnswer {
+pub(crate) enum FinalAnswer {
     /// An endpoint served the request.
     Served(EndpointResponse),
     /// The request was rejected; a retry is harmless.
@@ -19,10 +19,9 @@
         retry_after: Millis,
     },
     /// The request failed and may have run.
-    Failed {
-        /// Whether its last attempt timed out.
-        timed_out: bool,
-    },
+    Failed,
+    /// The request failed, as its last attempt timed out, and may have run.
+    TimedOut,
 }
 
 /// A request without a final answer.
@@ -36,9 +35,9 @@
 }
 
 impl RequestInProgress {
-    /// Whether the attempt that ended last timed out.
-    pub(crate) fn last_attempt_timed_out(&self) -> bool {
-        self.last_attempt_timed_out
+    /// The final answer if there are no further attempts.
+    pub(crate) fn failure(&self) -> FinalAnswer {
+        if self.last_attempt_timed_out { FinalAnswer::TimedOut } else { FinalAnswer::Failed }
     }
 
     /// Passes the final answer on to the client.
@@ -48,6 +47,14 @@
     }
 }
 
+/// A request that was submitted.
+pub(crate) struct SubmittedRequest {
+    /// The id by which the policy refers to it.
+    pub(crate) id: RequestId,
+    /// Receives the final answer, unless the request is removed before.
+    pub(crate) final_answer: oneshot::Receiver<FinalAnswer>,
+}
+
 /// An attempt that has not ended.
 struct AttemptInFlight {
     number: u32,
@@ -99,11 +106,11 @@
 }
 
 impl RequestTable {
-    /// Adds a request, to be answered by the deadline; its final answer comes through the receiver.
+    /// Adds a request whose attempts end by the deadline.
     pub(crate) fn insert(
         &mut self, request: ForwardedRequest, client: SharedStream, deadline: Instant,
-    ) -> (RequestId, oneshot::Receiver<FinalAnswer>) {
-        let (answer, receiver) = oneshot::channel();
+    ) -> SubmittedRequest {
+        let (answer, final_answer) = oneshot::channel();
         self.last_id += 1;
         let in_progress = RequestInProgress {
             request,
@@ -114,7 +121,7 @@
             last_attempt_timed_out: false,
         };
         self.requests.insert(self.last_id, in_progress);
-        (self.last_id, receiver)
+        SubmittedRequest { id: self.last_id, final_answer }
     }
 
     /// The number of requests in progress.
@@ -158,13 +165,18 @@
 
     /// Cancels the attempt with this number, if it is in flight.
     pub(crate) fn cancel_attempt(&mut self, id: RequestId, number: u32) {
-        let attempt = self.attempts.get_mut(&id).filter(|attempt| attempt.number == number);
-        attempt.map(AttemptInFlight::cancel);
+        if let Some(attempt) = self.attempts.get_mut(&id)
+            && attempt.number == number
+        {
+            attempt.cancel();
+        }
     }
 
     /// Cancels the attempt of a request, if one is in flight.
     pub(crate) fn cancel_any_attempt(&mut self, id: RequestId) {
-        self.attempts.get_mut(&id).map(AttemptInFlight::cancel);
+        if let Some(attempt) = self.attempts.get_mut(&id) {
+            attempt.cancel();
+        }
     }
 
     /// Removes the attempt of a request that has ended.
--- a/gateway/src/signals.rs
+++ b/gateway/src/signals.rs
@@ -21,14 +21,14 @@
 #[derive(Default)]
 struct SignalFlag {
     is_set: Arc<AtomicBool>,
-    set: Notify,
+    waiter: Notify,
 }
 
 impl SignalFlag {
     /// Clears the flag, and notifies the waiting task if it was set.
     fn forward(&self) {
         if self.is_set.swap(false, Ordering::SeqCst) {
-            self.set.notify_one();
+            self.waiter.notify_one();
         }
     }
 }
@@ -58,7 +58,7 @@
         Ok(Self { termination, reload, wake_ups })
     }
 
-    /// Passes signals on to the tasks that wait for them, forever.
+    /// Passes signals on to the tasks that wait for them. Never returns.
     pub async fn forward(&self) {
         let pipe = self.wake_ups.try_clone().and_then(UnixStream::from_std);
         loop {
@@ -74,19 +74,19 @@
         }
     }
 
-    /// Resolves once the process is asked to terminate.
+    /// Resolves once a signal requests the termination of the process.
     pub async fn termination_requested(&self) {
-        self.termination.set.notified().await;
+        self.termination.waiter.notified().await;
     }
 
     /// Resolves once the configuration is to be reloaded. Several signals in a row may resolve it only
     /// once, after the last of them.
     pub async fn reload_requested(&self) {
-        self.reload.set.notified().await;
+        self.reload.waiter.notified().await;
     }
 }
 
-/// Waits for wake-ups and discards those that have come.
+/// Waits for wake-ups and discards those that have arrived.
 async fn drain_pipe(pipe: &UnixStream) {
     if pipe.readable().await.is_err() {
         return std::future::pending().await;
--- a/gateway/tests/discovery_watch.rs
+++ b/gateway/tests/discovery_watch.rs
@@ -6,8 +6,8 @@
 use ryefront_gateway::discovery::backoff::{
     CONNECT_TIMEOUT, DiscoveryService, PollBackoff, PollFailure, PollTiming,
 };
-use ryefront_gateway::discovery::watch_endpoints;
-use ryefront_gateway::endpoint::EndpointRegistry;
+use ryefront_gateway::discovery::{WatchSettings, watch_endpoints};
+use ryefront_gateway::endpoint::{EndpointRegistry, EndpointSettings};
 use ryefront_gateway::engine::Engine;
 use ryefront_policy::LoadReportSource;
 use std::net::SocketAddr;
@@ -164,7 +164,8 @@
         let port = RefusingPort::bind();
         let engine = engine(self.seed, registry());
         let (_address_sender, address) = watch::channel(port.address);
-        tokio::task::spawn_local(watch_endpoints(address, 1, self.seed, self.timing, engine));
+        let watch = WatchSettings { address, cached_version: 1, seed: self.seed, timing: self.timing };
+        tokio::task::spawn_local(watch_endpoints(watch, engine));
         let start = Instant::now();
         while start.elapsed() < self.refuses_for {
             step().await;
@@ -192,7 +193,12 @@
 }
 
 fn registry() -> Rc<EndpointRegistry> {
-    EndpointRegistry::new(Duration::from_secs(1), Duration::from_secs(1), LoadReportSource::None, 10)
+    EndpointRegistry::new(EndpointSettings {
+        connect_timeout: Duration::from_secs(1),
+        endpoint_idle_timeout: Duration::from_secs(1),
+        load_report_source: LoadReportSource::None,
+        max_connections: 10,
+    })
 }
 
 fn engine(seed: u64, endpoints: Rc<EndpointRegistry>) -> Rc<Engine> {
