--- a/gateway/tests/retry.rs
+++ b/gateway/tests/retry.rs
@@ -116,7 +116,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn rejection_header_counts_only_with_status_503() {
+async fn rejection_header_is_ignored_unless_the_status_is_503_or_504() {
     for status in ["500 Error", "429 Slow", "404 None", "200 OK"] {
         let text = format!("HTTP/1.1 {status}\r\nSrv-Declined: 1\r\nContent-Length: 1\r\n\r\nx");
         let endpoint = TestEndpoint::responding(ScriptedResponse::Write(text)).await;
