--- a/policy/tests/quota_ceiling.rs
+++ b/policy/tests/quota_ceiling.rs
@@ -8,6 +8,27 @@
 use std::collections::BTreeMap;
 
 const END: Millis = 30_000.0;
+/// The index of the plan under a ceiling in the settings.
+const CEILING_PLAN: usize = 1;
+/// The ceiling refills at this rate, in units per second, times the case's factor.
+const CEILING_BASE_RATE: f64 = 5.0;
+/// The tenant's activity repeats in this time.
+const ACTIVITY_PERIOD: Millis = 3000.0;
+/// The number of requests that a case has to forward at least, or it shows nothing.
+const MIN_FORWARDED: usize = 30;
+
+/// A span of time.
+#[derive(Clone, Copy, Debug)]
+struct Span {
+    from: Millis,
+    until: Millis,
+}
+
+impl Span {
+    fn contains(&self, time: Millis) -> bool {
+        (self.from..self.until).contains(&time)
+    }
+}
 
 /// One tenant under a ceiling, whose demand at all of its gateways is far above it.
 #[derive(Clone, Copy, Debug)]
@@ -16,29 +37,52 @@
     /// Requests use from one unit up to this many.
     max_units: u64,
     burst: f64,
-    /// The plan's rate; 0 where the ceiling is its only bound. The ceiling is this many times 5 units a
-    /// second and the burst.
+    /// The plan's rate, in units per second; 0 where the ceiling is its only bound.
     rate: f64,
+    /// The ceiling as a multiple of [`CEILING_BASE_RATE`] and the burst.
     ceiling: f64,
-    /// When the counter is unavailable, and whether it has lost all counts afterwards.
-    unavailable: (Millis, Millis),
+    /// When the counter is unavailable.
+    unavailable: Span,
+    /// Whether the counter has lost all counts when it is available again.
     loses_counts: bool,
     /// The counter loses all counts this often.
     loss_interval: Millis,
     /// Each gateway runs this long; they restart one after the other.
     lifetime: Millis,
-    /// The tenant is active in this fraction of each 3 s.
+    /// The tenant is active in this fraction of each [`ACTIVITY_PERIOD`].
     active: f64,
 }
 
+impl Case {
+    fn settings(&self) -> Settings {
+        let mut settings = settings();
+        let plan = &mut settings.plans[CEILING_PLAN];
+        plan.rate = self.rate;
+        plan.burst = self.burst;
+        plan.ceiling_rate = CEILING_BASE_RATE * self.ceiling;
+        plan.ceiling_burst = self.burst * self.ceiling;
+        plan.ceiling_slack = (0.1 * plan.ceiling_burst).max(self.max_units as f64);
+        settings.gateway_count = self.gateways;
+        settings.max_units = self.max_units as f64;
+        settings
+    }
+
+    /// Returns the time between the restarts of two gateways.
+    fn restart_interval(&self) -> Millis {
+        self.lifetime / f64::from(self.gateways)
+    }
+}
+
 const NEVER: Millis = 1e9;
+/// An outage of the counter, in the middle of a case.
+const OUTAGE: Span = Span { from: 7000.0, until: 15_000.0 };
 const CASE: Case = Case {
     gateways: 4,
     max_units: 1,
     burst: 20.0,
     rate: 5.0,
     ceiling: 1.6,
-    unavailable: (NEVER, NEVER),
+    unavailable: Span { from: NEVER, until: NEVER },
     loses_counts: false,
     loss_interval: NEVER,
     lifetime: NEVER,
@@ -57,30 +101,28 @@
     settings: Settings,
     random: Random,
     gateways: Vec<PolicyEngine>,
+    /// The number of gateway processes started so far.
     started: u64,
     schedule: Schedule<Step>,
     now: Millis,
     counter: CounterStandIn,
+    /// The units of each request.
     units: BTreeMap<RequestId, f64>,
-    /// The units left under the ceiling, when they were computed, and the least there have been.
+    /// The units left under the ceiling, as of `refilled_at`.
     level: f64,
     refilled_at: Millis,
+    /// The lowest level so far.
     lowest: f64,
     forwarded: usize,
 }
 
 impl Fleet {
     fn new(case: Case) -> Self {
-        let mut set = settings();
-        let plan = &mut set.plans[1];
-        (plan.rate, plan.burst) = (case.rate, case.burst);
-        (plan.ceiling_rate, plan.ceiling_burst) = (5.0 * case.ceiling, case.burst * case.ceiling);
-        plan.ceiling_slack = (0.1 * plan.ceiling_burst).max(case.max_units as f64);
-        (set.gateway_count, set.max_units) = (case.gateways, case.max_units as f64);
-        let level = plan.ceiling_burst;
+        let settings = case.settings();
+        let level = settings.plans[CEILING_PLAN].ceiling_burst;
         let mut fleet = Self {
             case,
-            settings: set,
+            settings,
             random: Random(11),
             gateways: Vec::new(),
             started: 0,
@@ -98,19 +140,24 @@
             fleet.gateways.push(gateway);
             fleet.schedule.at(0.0, Step::Request(number));
         }
-        fleet.schedule.at(case.lifetime / f64::from(case.gateways), Step::Restart(0));
-        fleet.schedule.at(case.loss_interval, Step::LoseCounts);
-        if case.loses_counts {
-            fleet.schedule.at(case.unavailable.1, Step::LoseCounts);
-        }
+        fleet.schedule_faults();
         fleet
     }
 
+    /// Schedules the first restart and the first losses of counts.
+    fn schedule_faults(&mut self) {
+        self.schedule.at(self.case.restart_interval(), Step::Restart(0));
+        self.schedule.at(self.case.loss_interval, Step::LoseCounts);
+        if self.case.loses_counts {
+            self.schedule.at(self.case.unavailable.until, Step::LoseCounts);
+        }
+    }
+
     fn start(&mut self, number: u32) -> PolicyEngine {
         self.started += 1;
-        let set = Settings { gateway_index: number, ..self.settings.clone() };
-        let gateway = PolicyEngine::new(set, 7919 * self.started).expect("usable settings");
-        let list = (0..20).map(|n| endpoint(&format!("a{n}"), EndpointState::Ready, None)).collect();
+        let settings = Settings { gateway_index: number, ..self.settings.clone() };
+        let gateway = PolicyEngine::new(settings, 7919 * self.started).expect("usable settings");
+        let list = (0..20).map(|index| endpoint(&format!("a{index}"), EndpointState::Ready, None)).collect();
         self.schedule.at(self.now, Step::Handle(number, Event::EndpointSnapshot(list)));
         gateway
     }
@@ -127,12 +174,11 @@
                 Step::Restart(gateway) => {
                     self.gateways[gateway as usize] = self.start(gateway);
                     let next = (gateway + 1) % self.case.gateways;
-                    let after = self.case.lifetime / f64::from(self.case.gateways);
-                    self.schedule.at(now + after, Step::Restart(next));
+                    self.schedule.at(now + self.case.restart_interval(), Step::Restart(next));
                 }
                 Step::Request(gateway) => {
                     self.schedule.at(now + 20.0 + 20.0 * self.random.share(), Step::Request(gateway));
-                    if now % 3000.0 < 3000.0 * self.case.active {
+                    if now % ACTIVITY_PERIOD < ACTIVITY_PERIOD * self.case.active {
                         self.request(gateway);
                     }
                 }
@@ -167,8 +213,7 @@
                     self.schedule.at(self.now + after, Step::Handle(gateway, Event::Timer { token }));
                 }
                 Action::IncrementCounter { key, amount, .. } => {
-                    let (from, until) = self.case.unavailable;
-                    let available = self.now < from || self.now >= until;
+                    let available = !self.case.unavailable.contains(self.now);
                     let (latency, reply) = self.counter.call(key, amount, available);
                     self.schedule.at(self.now + latency, Step::Handle(gateway, reply));
                 }
@@ -179,7 +224,7 @@
     }
 
     fn forward(&mut self, gateway: u32, id: RequestId, endpoint: Name) {
-        let plan = &self.settings.plans[1];
+        let plan = &self.settings.plans[CEILING_PLAN];
         let refilled = self.level + plan.ceiling_rate * (self.now - self.refilled_at) / 1000.0;
         self.level = refilled.min(plan.ceiling_burst) - self.units[&id];
         self.refilled_at = self.now;
@@ -204,10 +249,10 @@
     for case in cases {
         let mut fleet = Fleet::new(*case);
         fleet.play();
-        let slack = fleet.settings.plans[1].ceiling_slack;
+        let slack = fleet.settings.plans[CEILING_PLAN].ceiling_slack;
         let line = format!("lowest {:.1} of -{slack}, {} forwarded: {case:?}", fleet.lowest, fleet.forwarded);
         println!("{line}");
-        if fleet.lowest < -slack || fleet.forwarded < 30 {
+        if fleet.lowest < -slack || fleet.forwarded < MIN_FORWARDED {
             violations.push(line);
         }
     }
@@ -234,7 +279,7 @@
 fn ceiling_holds_when_the_counter_recovers_with_or_without_its_counts() {
     for loses_counts in [false, true] {
         for active in [1.0, 0.2] {
-            assert_held(&sizes(Case { unavailable: (7000.0, 15_000.0), loses_counts, active, ..CASE }));
+            assert_held(&sizes(Case { unavailable: OUTAGE, loses_counts, active, ..CASE }));
         }
     }
 }
@@ -248,12 +293,7 @@
 fn ceiling_holds_when_gateways_restart() {
     assert_held(&sizes(Case { lifetime: 900.0, ..CASE }));
     // Without the counter a restarted gateway has no reading, and starts from its part of half a burst.
-    assert_held(&sizes(Case {
-        lifetime: 4000.0,
-        unavailable: (7000.0, 15_000.0),
-        loses_counts: true,
-        ..CASE
-    }));
+    assert_held(&sizes(Case { lifetime: 4000.0, unavailable: OUTAGE, loses_counts: true, ..CASE }));
 }
 
 #[test]
@@ -266,8 +306,7 @@
     let near = |ceiling| {
         let near = Case { ceiling, ..CASE };
         let lossy = Case { loss_interval: 2300.0, ..near };
-        let restarted =
-            Case { lifetime: 4000.0, unavailable: (7000.0, 15_000.0), loses_counts: true, ..near };
+        let restarted = Case { lifetime: 4000.0, unavailable: OUTAGE, loses_counts: true, ..near };
         [near, lossy, restarted].into_iter().flat_map(sizes)
     };
     assert_held(&[1.0, 1.2, 1.4].into_iter().flat_map(near).collect::<Vec<_>>());
