--- a/policy/tests/slow_start.rs
+++ b/policy/tests/slow_start.rs
@@ -1,8 +1,8 @@
 //! What all gateways together forward to endpoints in slow start, over many gateways in virtual time.
 //!
-//! An endpoint in slow start fails when a window of `overload_window` brings it more than N + 2 x root of N +
-//! 2 requests, N being the overload factor x its capacity at that moment x the window. `--nocapture` prints
-//! the worst ratio of each case.
+//! An endpoint in slow start fails when it gets more requests within `overload_window` than its budget:
+//! N + 2 * sqrt(N) + 2, where N is the overload factor times its capacity at the window's start times the
+//! window. `--nocapture` prints the worst ratio of each case.
 
 mod common;
 use common::*;
@@ -11,7 +11,12 @@
 
 /// Requests of mean work per second that one endpoint with all its capacity can do.
 const CAPACITY: f64 = 40.0;
+/// How long an attempt takes that is served, rejected, or times out.
 const LATENCY: Millis = 50.0;
+const REJECTION_LATENCY: Millis = 2.0;
+const TIMEOUT: Millis = 2000.0;
+const OVERLOAD_WINDOW: Millis = 1000.0;
+const OVERLOAD_FACTOR: f64 = 2.0;
 /// When the endpoints in slow start have started, and when the last request arrives: slow start is over by
 /// then.
 const START: Millis = 1000.0;
@@ -28,6 +33,16 @@
     Half,
 }
 
+/// Which attempts fail, and how.
+#[derive(Clone, Copy, Debug)]
+enum Failures {
+    None,
+    /// This fraction of all attempts.
+    Fraction(f64, Outcome),
+    /// All attempts at endpoints that are not in slow start, from the start on.
+    AllOtherEndpoints(Outcome),
+}
+
 #[derive(Clone, Copy, Debug)]
 struct Case {
     gateways: u32,
@@ -37,9 +52,7 @@
     /// Requests made, as a fraction of what all endpoints could do with all their capacity.
     load: f64,
     traffic: Traffic,
-    /// How attempts fail, and which fraction of them; at 1 all of those at other endpoints, from the start
-    /// on.
-    failures: (Outcome, f64),
+    failures: Failures,
     /// Gateways learn of the start up to this much later.
     max_delay: Millis,
     /// The starting endpoints ran before, and gateways that have not learned of the start use them as before.
@@ -54,18 +67,58 @@
     starting: 0.0,
     load: 1.0,
     traffic: Traffic::Even,
-    failures: (Outcome::Error, 0.0),
+    failures: Failures::None,
     max_delay: 0.0,
     restarted: false,
     counter: true,
 };
 
-/// Returns the endpoints' names: first those with all their capacity, and from the returned index on those
-/// that start.
-fn names(case: Case) -> (Vec<Name>, usize) {
-    let starting = ((case.endpoints as f64 * case.starting) as usize).max(1);
-    let names = (0..case.endpoints).map(|n| format!("a{n}").as_str().into()).collect();
-    (names, case.endpoints - starting)
+/// The names of the endpoints of a case.
+struct EndpointNames {
+    /// Those with all their capacity.
+    warm: Vec<Name>,
+    /// Those that start.
+    starting: Vec<Name>,
+}
+
+impl Case {
+    fn endpoint_names(&self) -> EndpointNames {
+        let starting_count = ((self.endpoints as f64 * self.starting) as usize).max(1);
+        let mut warm: Vec<Name> =
+            (0..self.endpoints).map(|index| format!("a{index}").as_str().into()).collect();
+        let starting = warm.split_off(self.endpoints - starting_count);
+        EndpointNames { warm, starting }
+    }
+
+    fn settings(&self) -> Settings {
+        let mut settings = settings();
+        settings.gateway_count = self.gateways;
+        settings.slow_start_duration = SLOW_START_DURATION;
+        settings.overload_window = OVERLOAD_WINDOW;
+        settings.overload_factor = OVERLOAD_FACTOR;
+        settings.plans[0].rate = 500.0;
+        settings.plans[0].burst = 1000.0;
+        settings
+    }
+
+    /// Returns the relative number of requests that each gateway gets.
+    fn traffic_weights(&self) -> Vec<f64> {
+        (0..self.gateways)
+            .map(|gateway| match self.traffic {
+                Traffic::Eightfold if gateway % 10 == 0 => 8.0,
+                Traffic::Half if gateway == 0 => f64::from(self.gateways - 1),
+                _ => 1.0,
+            })
+            .collect()
+    }
+}
+
+/// A request that was forwarded to an endpoint in slow start.
+#[derive(Clone, Copy)]
+struct ForwardedRequest {
+    at: Millis,
+    /// Whether the gateway had learned of the start.
+    informed: bool,
 }
 
 enum Step {
@@ -82,36 +135,35 @@
     schedule: Schedule<Step>,
     now: Millis,
     counter: CounterStandIn,
+    /// The number of the last attempt of each request.
     attempts: BTreeMap<RequestId, u32>,
+    /// Whether each gateway has learned of the start.
     learned: Vec<bool>,
-    /// Requests of each gateway that wait, and whether its maintenance is due: it runs in time while there
-    /// are any, else with the next event, which saves most of the work of hundreds of gateways.
+    /// The number of requests that wait at each gateway.
     waiting: Vec<usize>,
+    /// Whether the maintenance of each gateway is due. It runs in time while requests wait there, else with
+    /// the next event, which saves most of the work of hundreds of gateways.
     maintenance_due: Vec<bool>,
-    /// Of each endpoint in slow start: when requests were forwarded to it, and whether by a gateway that knew
-    /// of the start.
-    forwarded: BTreeMap<Name, Vec<(Millis, bool)>>,
+    /// The requests that were forwarded to each endpoint in slow start.
+    forwarded: BTreeMap<Name, Vec<ForwardedRequest>>,
+    /// The number of attempts forwarded to all endpoints.
     all_forwarded: usize,
 }
 
 impl Fleet {
     fn new(case: Case) -> Self {
-        let mut set = settings();
-        (set.gateway_count, set.slow_start_duration, set.overload_window, set.overload_factor) =
-            (case.gateways, SLOW_START_DURATION, 1000.0, 2.0);
-        (set.plans[0].rate, set.plans[0].burst) = (500.0, 1000.0);
+        let settings = case.settings();
         let mut seeds = Random(u64::from(case.gateways));
         let gateways = (0..case.gateways)
             .map(|number| {
-                let set = Settings { gateway_index: number, ..set.clone() };
-                PolicyEngine::new(set, seeds.below(u64::MAX)).expect("usable settings")
+                let settings = Settings { gateway_index: number, ..settings.clone() };
+                PolicyEngine::new(settings, seeds.below(u64::MAX)).expect("usable settings")
             })
             .collect::<Vec<_>>();
-        let (names, first_starting) = names(case);
-        let starting = names.into_iter().skip(first_starting).map(|name| (name, Vec::new()));
+        let starting = case.endpoint_names().starting.into_iter();
         Self {
             case,
-            settings: set,
+            settings,
             random: Random(7),
             learned: vec![false; gateways.len()],
             waiting: vec![0; gateways.len()],
@@ -121,58 +173,44 @@
             now: 0.0,
             counter: CounterStandIn::default(),
             attempts: BTreeMap::new(),
-            forwarded: starting.collect(),
+            forwarded: starting.map(|name| (name, Vec::new())).collect(),
             all_forwarded: 0,
         }
     }
 
-    /// Schedules the endpoint lists, the start as each gateway learns of it, and all requests.
-    fn schedule_all(&mut self) {
-        let case = self.case;
-        let (names, first_starting) = names(case);
-        let before = if case.restarted { &names[..] } else { &names[..first_starting] };
+    /// Schedules the first endpoint list, and the start as each gateway learns of it.
+    fn schedule_endpoint_lists(&mut self) {
+        let names = self.case.endpoint_names();
+        let mut listed = names.warm;
+        if self.case.restarted {
+            listed.extend(names.starting);
+        }
         for gateway in 0..self.gateways.len() {
-            let list = before.iter().map(|name| endpoint(name, EndpointState::Ready, None)).collect();
+            let list = listed.iter().map(|name| endpoint(name, EndpointState::Ready, None)).collect();
             self.schedule.at(0.0, Step::Handle(gateway, Event::EndpointSnapshot(list)));
-            let delay = self.random.share() * case.max_delay;
+            let delay = self.random.share() * self.case.max_delay;
             self.schedule.at(START + delay, Step::LearnStart(gateway));
         }
-        let weights: Vec<f64> = (0..self.gateways.len())
-            .map(|n| match case.traffic {
-                Traffic::Eightfold if n % 10 == 0 => 8.0,
-                Traffic::Half if n == 0 => f64::from(case.gateways - 1),
-                _ => 1.0,
-            })
-            .collect();
-        let weight: f64 = weights.iter().sum();
-        let gap = 1000.0 / (case.load * CAPACITY * case.endpoints as f64);
-        let (mut when, mut id) = (0.0, 0);
-        while when < END {
-            when -= self.random.share().max(1e-12).ln() * gap;
+    }
+
+    /// Schedules all requests, at random intervals and gateways.
+    fn schedule_requests(&mut self) {
+        let weights = self.case.traffic_weights();
+        let total_weight: f64 = weights.iter().sum();
+        let mean_interval = 1000.0 / (self.case.load * CAPACITY * self.case.endpoints as f64);
+        let mut arrives_at = 0.0;
+        let mut id = 0;
+        while arrives_at < END {
+            arrives_at -= self.random.share().max(1e-12).ln() * mean_interval;
             id += 1;
-            let mut drawn = self.random.share() * weight;
-            let gateway = weights.iter().position(|w| {
-                drawn -= w;
-                drawn < 0.0
-            });
-            let gateway = gateway.unwrap_or(0);
-            let arrival = Arrival {
-                id,
-                tenant: format!("c{gateway}").as_str().into(),
-                plan: "plain".into(),
-                class: "idempotent".into(),
-                units: 1.0,
-                client_retry: false,
-                time_to_deadline: 3000.0,
-                first_gateway: gateway as u32,
-                gateways_per_tenant: 1,
-            };
-            self.schedule.at(when, Step::Handle(gateway, Event::RequestArrived(arrival)));
+            let gateway = index_by_weight(&weights, self.random.share() * total_weight);
+            self.schedule.at(arrives_at, Step::Handle(gateway, Event::RequestArrived(arrival(id, gateway))));
         }
     }
 
     fn play(&mut self) {
-        self.schedule_all();
+        self.schedule_endpoint_lists();
+        self.schedule_requests();
         while let Some((now, step)) = self.schedule.next().filter(|(now, _)| *now <= END) {
             self.now = now;
             match step {
@@ -185,17 +223,18 @@
                     }
                     self.handle(gateway, event);
                 }
-                Step::LearnStart(gateway) => {
-                    self.learned[gateway] = true;
-                    let starting =
-                        self.forwarded.keys().map(|name| endpoint(name, EndpointState::Ready, Some(START)));
-                    let changes = Event::EndpointDelta(starting.collect());
-                    self.handle(gateway, changes);
-                }
+                Step::LearnStart(gateway) => self.learn_start(gateway),
             }
         }
     }
 
+    fn learn_start(&mut self, gateway: usize) {
+        self.learned[gateway] = true;
+        let starting = self.forwarded.keys().map(|name| endpoint(name, EndpointState::Ready, Some(START)));
+        let changes = Event::EndpointDelta(starting.collect());
+        self.handle(gateway, changes);
+    }
+
     fn handle(&mut self, gateway: usize, event: Event) {
         self.waiting[gateway] += match &event {
             Event::RequestArrived(_) => 1,
@@ -230,18 +269,15 @@
     fn forward(&mut self, gateway: usize, id: RequestId, endpoint: Name) {
         self.all_forwarded += 1;
         if let Some(forwarded) = self.forwarded.get_mut(&endpoint).filter(|_| self.now >= START) {
-            forwarded.push((self.now, self.learned[gateway]));
+            forwarded.push(ForwardedRequest { at: self.now, informed: self.learned[gateway] });
         }
-        let attempt = *self.attempts.entry(id).and_modify(|n| *n += 1).or_insert(0);
-        let (failure, fraction) = self.case.failures;
-        let spared = fraction == 1.0 && (self.now < START || self.forwarded.contains_key(&endpoint));
-        let outcome = if !spared && self.random.share() < fraction { failure } else { Outcome::Served };
+        let attempt = *self.attempts.entry(id).and_modify(|attempt| *attempt += 1).or_insert(0);
+        let outcome = self.draw_outcome(&endpoint);
         let latency = match outcome {
-            Outcome::Rejected => 2.0,
-            Outcome::TimedOut => 2000.0,
+            Outcome::Rejected => REJECTION_LATENCY,
+            Outcome::TimedOut => TIMEOUT,
             _ => LATENCY,
         };
-        let finished = outcome == Outcome::Served;
         let end = AttemptEnd {
             id,
             attempt,
@@ -249,33 +285,89 @@
             outcome,
             latency,
             actual_units: None,
-            request_finished: finished,
+            request_finished: outcome == Outcome::Served,
             load_report: None,
         };
         self.schedule.at(self.now + latency, Step::Handle(gateway, Event::AttemptEnded(end)));
     }
 
-    /// Returns the worst window of all endpoints in slow start, as a ratio to its budget. A window of which a
-    /// third or more came from gateways that did not know of the start counts with what the others forwarded.
+    fn draw_outcome(&mut self, endpoint: &Name) -> Outcome {
+        match self.case.failures {
+            Failures::None => Outcome::Served,
+            Failures::Fraction(fraction, failure) => {
+                if self.random.share() < fraction {
+                    failure
+                } else {
+                    Outcome::Served
+                }
+            }
+            Failures::AllOtherEndpoints(failure) => {
+                let spared = self.now < START || self.forwarded.contains_key(endpoint);
+                if spared { Outcome::Served } else { failure }
+            }
+        }
+    }
+
+    /// Returns the worst window of all endpoints in slow start, as a ratio to its budget.
     fn worst(&self) -> f64 {
-        let set = &self.settings;
         let mut worst: f64 = 0.0;
         for forwarded in self.forwarded.values() {
-            for (first, (from, _)) in forwarded.iter().enumerate() {
-                let age = (from - START) / set.slow_start_duration;
-                let share =
-                    set.slow_start_initial_fraction + (1.0 - set.slow_start_initial_fraction) * age.min(1.0);
-                let n = set.overload_factor * share * CAPACITY * set.overload_window / 1000.0;
-                let window = forwarded[first..].iter().take_while(|(at, _)| at - from < set.overload_window);
-                let (sum, informed) = window.fold((0.0, 0.0), |(sum, informed), (_, knew)| {
-                    (sum + 1.0, informed + f64::from(u8::from(*knew)))
-                });
-                let counts = if informed * 1.5 >= sum { sum } else { informed };
-                worst = worst.max(counts / (n + 2.0 * n.sqrt() + 2.0));
+            for (index, first) in forwarded.iter().enumerate() {
+                worst = worst.max(counted_requests(&forwarded[index..]) / self.budget(first.at));
             }
         }
         worst
     }
+
+    /// Returns the most requests that an endpoint in slow start may get in the window that begins at `from`.
+    fn budget(&self, from: Millis) -> f64 {
+        let settings = &self.settings;
+        let progress = ((from - START) / settings.slow_start_duration).min(1.0);
+        let initial = settings.slow_start_initial_fraction;
+        let capacity_fraction = initial + (1.0 - initial) * progress;
+        let mean =
+            settings.overload_factor * capacity_fraction * CAPACITY * settings.overload_window / 1000.0;
+        mean + 2.0 * mean.sqrt() + 2.0
+    }
+}
+
+/// Returns how many requests count in the window that begins with the first of these. A window of which a
+/// third or more came from gateways that did not know of the start counts with what the others forwarded.
+fn counted_requests(forwarded: &[ForwardedRequest]) -> f64 {
+    let from = forwarded[0].at;
+    let window = forwarded.iter().take_while(|request| request.at - from < OVERLOAD_WINDOW);
+    let mut all = 0.0;
+    let mut informed = 0.0;
+    for request in window {
+        all += 1.0;
+        informed += f64::from(u8::from(request.informed));
+    }
+    if informed * 1.5 >= all { all } else { informed }
+}
+
+/// Returns the index at which the sum of the weights exceeds `drawn`, or 0 if none does by rounding.
+fn index_by_weight(weights: &[f64], drawn: f64) -> usize {
+    let mut remaining = drawn;
+    let index = weights.iter().position(|weight| {
+        remaining -= weight;
+        remaining < 0.0
+    });
+    index.unwrap_or(0)
+}
+
+/// Returns a request of a tenant that one gateway serves.
+fn arrival(id: RequestId, gateway: usize) -> Arrival {
+    Arrival {
+        id,
+        tenant: format!("c{gateway}").as_str().into(),
+        plan: "plain".into(),
+        class: "idempotent".into(),
+        units: 1.0,
+        client_retry: false,
+        time_to_deadline: 3000.0,
+        first_gateway: gateway as u32,
+        gateways_per_tenant: 1,
+    }
 }
 
 /// Plays cases with few gateways and with hundreds.
@@ -291,7 +383,8 @@
         for &(gateways, endpoints) in sizes {
             let mut fleet = Fleet::new(Case { gateways, endpoints, ..*case });
             fleet.play();
-            let (worst, to_starting) = (fleet.worst(), fleet.forwarded.values().map(Vec::len).sum::<usize>());
+            let worst = fleet.worst();
+            let to_starting: usize = fleet.forwarded.values().map(Vec::len).sum();
             let line = format!(
                 "{worst:.2} of the budget, {to_starting} of {} forwarded to slow start: {:?}",
                 fleet.all_forwarded, fleet.case
@@ -326,16 +419,20 @@
 #[test]
 fn endpoints_in_slow_start_get_no_more_when_all_others_are_lost() {
     let failures = [Outcome::ConnectFailed, Outcome::TimedOut];
-    assert_held(&failures.map(|outcome| Case { starting: 0.3, failures: (outcome, 1.0), ..CASE }));
+    assert_held(&failures.map(|outcome| Case {
+        starting: 0.3,
+        failures: Failures::AllOtherEndpoints(outcome),
+        ..CASE
+    }));
 }
 
 #[test]
 fn retries_count_against_the_slow_start_budget() {
     let failures = [
-        (Outcome::Error, 0.3),
-        (Outcome::ConnectionReset, 0.3),
-        (Outcome::Rejected, 0.1),
-        (Outcome::Rejected, 0.3),
+        Failures::Fraction(0.3, Outcome::Error),
+        Failures::Fraction(0.3, Outcome::ConnectionReset),
+        Failures::Fraction(0.1, Outcome::Rejected),
+        Failures::Fraction(0.3, Outcome::Rejected),
     ];
     assert_held(&failures.map(|failures| Case { failures, ..CASE }));
 }
@@ -353,12 +450,12 @@
 
 #[test]
 fn repeated_sampling_of_a_subset_sends_no_more_to_endpoints_in_slow_start() {
-    let lost = Case { starting: 0.3, failures: (Outcome::ConnectFailed, 1.0), ..CASE };
+    let lost = Case { starting: 0.3, failures: Failures::AllOtherEndpoints(Outcome::ConnectFailed), ..CASE };
     assert_held_at(&[(20, 60)], &[Case { starting: 1.0, restarted: true, ..CASE }, lost]);
 }
 
 #[test]
 fn retries_add_nothing_where_many_endpoints_are_in_slow_start() {
-    let errors = Case { failures: (Outcome::Error, 0.3), ..CASE };
+    let errors = Case { failures: Failures::Fraction(0.3, Outcome::Error), ..CASE };
     assert_held(&[Case { starting: 0.5, ..errors }, Case { starting: 1.0, restarted: true, ..errors }]);
 }
