--- a/policy/src/concurrency_limit.rs
+++ b/policy/src/concurrency_limit.rs
@@ -1,14 +1,14 @@
 //! The adaptive concurrency limit of an endpoint, at one gateway.
 //!
-//! The limit bounds the attempts in flight so that most responses meet their latency objective. It follows
-//! the fraction of late responses (multiplicative increase, multiplicative decrease) and needs no knowledge
-//! of the endpoint's size.
+//! The size of an endpoint and the load that other gateways put on it are not known. The limit bounds the
+//! attempts in flight so that most responses meet their latency objective: it grows and shrinks with each
+//! response, in time or late (multiplicative increase, multiplicative decrease).
+
+use crate::response_latency::Timeliness;
 
 /// The attempts that all gateways together keep in flight at one endpoint at first.
 const INITIAL_FLEET_LIMIT: f64 = 3.5;
-/// The fraction of responses that may be late: with fewer the limit grows, with more it shrinks.
-pub(crate) const LATE_FRACTION_TARGET: f64 = 0.1;
-/// By how much one response moves the limit: a late one by nine tenths of this, one in time by a tenth.
+/// By how much one response changes the limit ([`Timeliness::adjustment`]).
 const LIMIT_STEP: f64 = 0.12;
 /// The lowest limit of one endpoint at one gateway. Below 1 the sum over all endpoints still binds.
 const MIN_LIMIT: f64 = 0.2;
@@ -41,14 +41,13 @@
         f64::from(in_flight) < self.limit.ceil()
     }
 
-    /// Records a response that was late or in time, with `in_flight` attempts still in flight.
+    /// Records a response, with `in_flight` attempts still in flight.
     ///
     /// The limit grows only while it is used.
-    pub(crate) fn record_latency(&mut self, late: bool, in_flight: u32) {
+    pub(crate) fn record_response(&mut self, timeliness: Timeliness, in_flight: u32) {
         let used = f64::from(in_flight) + 1.0 >= self.limit.floor();
-        if late || used {
-            let step = LIMIT_STEP * (LATE_FRACTION_TARGET - f64::from(u8::from(late)));
-            self.limit = (self.limit * (1.0 + step)).max(MIN_LIMIT);
+        if used || timeliness == Timeliness::Late {
+            self.limit = (self.limit * timeliness.adjustment(LIMIT_STEP)).max(MIN_LIMIT);
         }
     }
 }
--- a/policy/src/endpoint.rs
+++ b/policy/src/endpoint.rs
@@ -3,6 +3,7 @@
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::hash::hash;
 use crate::outlier_detection::{EjectionChange, OutlierDetector};
+use crate::response_latency::Timeliness;
 use crate::slow_start::EndpointStart;
 use crate::{AttemptEnd, EndpointEntry, LoadReport, Millis, Name, Outcome};
 
@@ -85,12 +86,12 @@
         }
     }
 
-    /// Records the end of an attempt that says something of the endpoint, and whether it was late. Returns a
-    /// change of the endpoint's ejection that is to be logged.
+    /// Records the end of an attempt in concurrency limit and outlier detection. Returns a change of the
+    /// endpoint's ejection that is to be logged.
     pub(crate) fn record_attempt_end(
-        &mut self, end: &AttemptEnd, late: bool, now: Millis, slow_start_duration: Millis,
+        &mut self, end: &AttemptEnd, timeliness: Timeliness, now: Millis, slow_start_duration: Millis,
     ) -> Option<EjectionChange> {
-        self.limit.record_latency(late, self.in_flight);
+        self.limit.record_response(timeliness, self.in_flight);
         if end.outcome == Outcome::Served {
             self.outlier.record_success()
         } else {
--- a/policy/src/engine.rs
+++ b/policy/src/engine.rs
@@ -325,10 +325,11 @@
         // The class of a request that is over is not known.
         let Some(class) = self.requests.get(&end.id).map(|request| request.class) else { return };
         let latency_objective = self.settings.classes[class].latency_objective;
-        let late = self.response_latency.record(class, latency_objective, end.outcome, end.latency);
-        let Some(late) = late else { return };
-        self.load_shedder.record_response(late);
-        let change = endpoint.record_attempt_end(end, late, self.now, self.settings.slow_start_duration);
+        let timeliness = self.response_latency.record(class, latency_objective, end.outcome, end.latency);
+        let Some(timeliness) = timeliness else { return };
+        self.load_shedder.record_response(timeliness);
+        let slow_start_duration = self.settings.slow_start_duration;
+        let change = endpoint.record_attempt_end(end, timeliness, self.now, slow_start_duration);
         actions.extend(change.map(|change| Action::Log(change.log_line(name))));
     }
 
--- a/policy/src/load_shedder.rs
+++ b/policy/src/load_shedder.rs
@@ -1,16 +1,16 @@
 //! Overload protection of a large fleet: sheds first attempts while too many responses are late.
 //!
-//! The admission probability follows the fraction of late responses. It applies to a request of mean priority
-//! weight; requests of a lower weight are shed first, as the probability is raised to the power of the mean
-//! weight divided by theirs.
+//! A gateway of a large fleet sees too little of each endpoint for concurrency limits to react in time. So it
+//! admits first attempts with a probability that falls with each late response (adaptive admission control).
+//! The probability applies to a request of mean priority weight; requests of a lower weight are shed first, as
+//! it is raised to the power of the mean weight divided by theirs.
 
-use crate::concurrency_limit::LATE_FRACTION_TARGET;
 use crate::quota::QuotaReading;
 use crate::random::Random;
+use crate::response_latency::Timeliness;
 use crate::{RequestClass, Settings};
 
-/// By how much one response moves the admission probability: a late one by nine tenths of this, one in time
-/// by a tenth.
+/// By how much one response changes the admission probability ([`Timeliness::adjustment`]).
 const PROBABILITY_STEP: f64 = 0.2;
 /// The lowest admission probability.
 const MIN_PROBABILITY: f64 = 0.1;
@@ -66,9 +66,9 @@
         Admission::Shed
     }
 
-    /// Records whether a response was late.
-    pub(crate) fn record_response(&mut self, late: bool) {
-        let step = PROBABILITY_STEP * (LATE_FRACTION_TARGET - f64::from(u8::from(late)));
-        self.probability = (self.probability * (1.0 + step)).clamp(MIN_PROBABILITY, 1.0);
+    /// Records a response.
+    pub(crate) fn record_response(&mut self, timeliness: Timeliness) {
+        let probability = self.probability * timeliness.adjustment(PROBABILITY_STEP);
+        self.probability = probability.clamp(MIN_PROBABILITY, 1.0);
     }
 }
