--- a/policy/src/engine.rs
+++ b/policy/src/engine.rs
@@ -1,9 +1,9 @@
 //! The policy engine: passes events to the mechanisms of the other modules and collects their actions.
 //!
-//! A request passes three gates: its tenant's quota ([`quota`](crate::quota)), load shedding
+//! A first attempt passes three gates: its tenant's quota ([`quota`](crate::quota)), load shedding
 //! ([`load_shedder`](crate::load_shedder)), and an endpoint with capacity
-//! ([`load_balancer`](crate::load_balancer)). A request that cannot pass yet waits for a fraction of its
-//! latency objective.
+//! ([`load_balancer`](crate::load_balancer)). A retry passes the last of them only. A request that waits for
+//! the counter or for an endpoint does so for a fraction of its latency objective at most.
 
 use crate::concurrency_limit::is_large_fleet;
 use crate::endpoint_table::{EndpointTable, ListKind};
@@ -147,7 +147,7 @@
         };
         self.quota.record_arrival(&request.for_quota(id), &tenant_arrival, self.now);
         self.requests.insert(id, request);
-        if self.admit(id, actions) {
+        if self.admit(id, actions) == Some(QuotaDecision::Wait) {
             self.quota.request_block(&arrival.tenant, self.now, actions);
         }
     }
@@ -179,17 +179,15 @@
 
     // ---- Quota ----
 
-    /// Passes a request through the quota gate. Returns whether it waits for the counter.
-    fn admit(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(request) = self.requests.get(&id).map(|request| request.for_quota(id)) else { return false };
-        let Some((decision, source)) = self.quota.admit(&request, self.now, &mut self.random, actions) else {
-            return false;
-        };
+    /// Passes a request through the quota gate. Returns its decision, or `None` if the request is over.
+    fn admit(&mut self, id: RequestId, actions: &mut Vec<Action>) -> Option<QuotaDecision> {
+        let request = self.requests.get(&id)?.for_quota(id);
+        let (decision, source) = self.quota.admit(&request, self.now, &mut self.random, actions)?;
         self.apply_quota_decision(id, decision, actions);
         if source == QuotaSource::Fallback {
             self.quota.poll_counter(&request.tenant, self.now, &mut self.random, actions);
         }
-        decision == QuotaDecision::Wait
+        Some(decision)
     }
 
     fn admit_from_fallback(&mut self, id: RequestId, actions: &mut Vec<Action>) {
@@ -215,8 +213,8 @@
                 let until = request.arrived_at + latency_objective * MAX_WAIT_FRACTION;
                 self.wait(id, RequestStage::Quota, until, actions);
             }
-            QuotaDecision::Reject { missing_units, refill_rate } => {
-                let retry_after = retry_after::over_quota(missing_units, refill_rate, &mut self.random);
+            QuotaDecision::Reject(shortfall) => {
+                let retry_after = retry_after::over_quota(shortfall, &mut self.random);
                 self.reject(id, retry_after, actions);
             }
         }
@@ -226,8 +224,11 @@
         match outcome {
             ReplyOutcome::Nothing => {}
             ReplyOutcome::LeaseUpdated { tenant, waiting, returns_units } => {
-                let still_waiting = waiting.iter().filter(|request| self.admit(request.id, actions)).count();
-                if still_waiting > 0 || returns_units {
+                let mut still_waiting = false;
+                for request in waiting {
+                    still_waiting |= self.admit(request.id, actions) == Some(QuotaDecision::Wait);
+                }
+                if still_waiting || returns_units {
                     self.quota.request_block(&tenant, self.now, actions);
                 }
             }
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -6,8 +6,8 @@
 //!
 //! ```
 //! use ryefront_policy::{
-//!     Action, Arrival, DedupScope, EndpointEntry, EndpointState, Event, Idempotency, PolicyEngine, QuotaPlan,
-//!     RequestClass, Settings,
+//!     Action, Arrival, DedupScope, EndpointEntry, EndpointState, Event, Idempotency, PolicyEngine,
+//!     QuotaPlan, RequestClass, Settings,
 //! };
 //!
 //! let settings = Settings {
--- a/policy/src/load_shedder.rs
+++ b/policy/src/load_shedder.rs
@@ -1,9 +1,9 @@
 //! Overload protection of a large fleet: sheds first attempts while too many responses are late.
 //!
-//! A gateway of a large fleet sees too little of each endpoint for concurrency limits to react in time. So it
-//! admits first attempts with a probability that falls with each late response (adaptive admission control).
-//! The probability applies to a request of mean priority weight; requests of a lower weight are shed first, as
-//! it is raised to the power of the mean weight divided by theirs.
+//! A gateway of a large fleet sees too little of each endpoint to judge it alone, but enough of all of them
+//! together. It admits first attempts with a probability that falls with each late response (adaptive
+//! admission control). The probability applies to a request of mean priority weight; requests of a lower
+//! weight are shed first, as it is raised to the power of the mean weight divided by theirs.
 
 use crate::quota::QuotaReading;
 use crate::random::Random;
--- a/policy/src/quota/counter_call.rs
+++ b/policy/src/quota/counter_call.rs
@@ -1,6 +1,7 @@
 //! The calls that a tenant makes to the counter: what is added, to which key.
 
 use super::decayed_count::increment_weight;
+use super::lease::Increment;
 use super::share::QuotaShare;
 use super::tenant::{PendingCall, Tenant};
 use super::window::Now;
@@ -34,12 +35,13 @@
         let length = share.schedule().length();
         let low_quota = share.is_low_quota();
         let block = if low_quota {
+            // One call of so many is made, so it stands for the demand of those that are not.
             low_quota_demand(tenant) / call_ratio
         } else {
             lease_block(tenant, share, draining)
         };
         let unreported = tenant.lease.take_unreported();
-        tenant.set_pending_call(PendingCall::Increment { window, block, unreported });
+        tenant.set_pending_call(PendingCall::Increment(Increment { window, block, unreported }));
         let (weight, ttl) = if low_quota {
             let elapsed = share.schedule().elapsed(window, now);
             (increment_weight(elapsed, share.refill_period()), length)
--- a/policy/src/quota/counter_calls.rs
+++ b/policy/src/quota/counter_calls.rs
@@ -11,15 +11,16 @@
 /// Replies should arrive within this fraction of the shortest wait of a request: slower, and fewer calls are
 /// made.
 const FAST_REPLY_FRACTION: f64 = 0.3;
-/// By how much an instant reply raises the call ratio; a late one lowers it by up to twice as much.
+/// By how much an instant reply raises the call ratio.
 const CALL_RATIO_STEP: f64 = 0.2;
+/// A slow reply or a failure lowers the call ratio by up to this many times as much.
+const MAX_DECREASE_FACTOR: f64 = 2.0;
 /// The lowest call ratio: without calls a gateway would not learn that the counter has recovered.
 const MIN_CALL_RATIO: f64 = 0.1;
-/// The counter counts as unavailable after this many timeouts without a reply: a single call may just be
-/// late.
-const UNAVAILABLE_AFTER_TIMEOUTS: f64 = 3.0;
-/// ... and after this many consecutive failures.
+/// The counter counts as unavailable after this many consecutive failures, as a single call may just be late,
 const UNAVAILABLE_AFTER_FAILURES: u32 = 2;
+/// if there has been no reply for this many call timeouts besides.
+const UNAVAILABLE_AFTER_TIMEOUTS: f64 = 3.0;
 
 /// A change of the counter's availability, to be logged.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -83,11 +84,11 @@
         self.tenant_by_key.len() as f64 >= (MAX_CALLS_IN_FLIGHT * self.call_ratio).max(1.0)
     }
 
-    /// Returns whether too many calls have failed for too long.
+    /// Returns whether several consecutive calls have failed and the last reply is long ago.
     pub(crate) fn is_unavailable(&self, now: Millis) -> bool {
-        let silence = now - self.last_reply_at;
+        let since_reply = now - self.last_reply_at;
         self.consecutive_failures >= UNAVAILABLE_AFTER_FAILURES
-            && silence > self.timeout * UNAVAILABLE_AFTER_TIMEOUTS
+            && since_reply > self.timeout * UNAVAILABLE_AFTER_TIMEOUTS
     }
 
     /// Notes a call for a tenant.
@@ -98,9 +99,11 @@
     /// Notes the end of a call, and returns its tenant.
     pub(crate) fn ended(&mut self, key: u64, result: CounterResult, latency: Millis) -> Option<Name> {
         let tenant = self.tenant_by_key.remove(&key)?;
-        let slowness =
-            if matches!(result, CounterResult::Total(_)) { latency / self.fast_reply } else { f64::INFINITY };
-        let step = CALL_RATIO_STEP * (1.0 - slowness).max(-2.0);
+        let slowness = match result {
+            CounterResult::Total(_) => latency / self.fast_reply,
+            CounterResult::NotAdded | CounterResult::Unknown => f64::INFINITY,
+        };
+        let step = CALL_RATIO_STEP * (1.0 - slowness).max(-MAX_DECREASE_FACTOR);
         self.call_ratio = (self.call_ratio * (1.0 + step)).clamp(MIN_CALL_RATIO, 1.0);
         Some(tenant)
     }
@@ -116,8 +119,8 @@
         recovered.then_some(AvailabilityChange::Recovered)
     }
 
-    /// Notes a call that returned no total. `unusable` tells that the counter cannot be used for another
-    /// reason.
+    /// Notes a call that returned no total. `unusable` means that the counter cannot be used in any case, for
+    /// a reason other than failed calls.
     pub(crate) fn record_failure(&mut self, now: Millis, unusable: bool) -> Option<AvailabilityChange> {
         self.consecutive_failures += 1;
         let unavailable = unusable || self.is_unavailable(now);
--- a/policy/src/quota/gate.rs
+++ b/policy/src/quota/gate.rs
@@ -3,11 +3,14 @@
 use super::counter_call::{CounterCall, needs_previous_total};
 use super::counter_calls::{AvailabilityChange, CounterCalls};
 use super::fallback::FallbackStart;
-use super::lease::{BLOCK_FRACTION, IncrementReply};
-use super::low_quota::{LowQuotaTenants, LowQuotaTotal};
+use super::lease::{BLOCK_FRACTION, Increment, IncrementReply};
+use super::low_quota::{LowQuotaReply, LowQuotaTenants};
 use super::tenant::{PendingCall, Tenant, TenantArrival};
 use super::window::{Now, WindowClock};
-use super::{IDLE_PERIODS, QuotaDecision, QuotaReading, QuotaRequest, QuotaSource, ReplyOutcome, ceiling};
+use super::{
+    IDLE_PERIODS, QuotaDecision, QuotaReading, QuotaRequest, QuotaShortfall, QuotaSource, ReplyOutcome,
+    ceiling,
+};
 use crate::random::Random;
 use crate::{Action, CounterResult, FleetTime, Millis, Name, QuotaPlan, RequestId, Settings};
 use std::collections::BTreeMap;
@@ -90,7 +93,7 @@
             return Some((decision, QuotaSource::Fallback));
         } else if tenant.lease.has_reading() && available < request.units {
             let missing_units = request.units - available;
-            QuotaDecision::Reject { missing_units, refill_rate: share.plan.rate }
+            QuotaDecision::Reject(QuotaShortfall { missing_units, refill_rate: share.plan.rate })
         } else {
             tenant.wait(request);
             QuotaDecision::Wait
@@ -132,7 +135,10 @@
         Some(if decision.admitted {
             QuotaDecision::Admit(decision.reading)
         } else {
-            QuotaDecision::Reject { missing_units: request.units, refill_rate: share.plan.rate }
+            QuotaDecision::Reject(QuotaShortfall {
+                missing_units: request.units,
+                refill_rate: share.plan.rate,
+            })
         })
     }
 
@@ -153,7 +159,8 @@
         Some(match tenant.spend_fallback(request.units, start, share, now) {
             Ok(()) => QuotaDecision::Admit(QuotaReading::Known),
             Err(missing_units) => {
-                QuotaDecision::Reject { missing_units, refill_rate: share.plan.rate / share.gateways }
+                let refill_rate = share.plan.rate / share.gateways;
+                QuotaDecision::Reject(QuotaShortfall { missing_units, refill_rate })
             }
         })
     }
@@ -259,21 +266,21 @@
         let window_now = self.clock.now(now);
         let Some(tenant) = self.tenants.get_mut(name) else { return ReplyOutcome::Nothing };
         let share = tenant.share(&self.plans);
-        let (window, block, unreported) = match tenant.take_pending_call() {
+        let increment = match tenant.take_pending_call() {
             None => return ReplyOutcome::Nothing,
             Some(PendingCall::ReadPrevious { window }) => {
                 tenant.lease.set_previous(window, total);
                 self.request_block(name, now, actions);
                 return ReplyOutcome::Nothing;
             }
-            Some(PendingCall::Increment { window, block, unreported }) => (window, block, unreported),
+            Some(PendingCall::Increment(increment)) => increment,
         };
         if share.is_low_quota() {
             let call_ratio = self.calls.call_ratio();
-            let reply = LowQuotaTotal { window, total, block, call_ratio };
-            return self.on_low_quota_total(name, reply, window_now, actions);
+            let reply = LowQuotaReply { increment, total, call_ratio };
+            return self.on_low_quota_reply(name, reply, window_now, actions);
         }
-        let reply = IncrementReply { window, block, unreported, total };
+        let reply = IncrementReply { increment, total };
         tenant.apply_reply(reply, self.calls.recovered_at(), window_now, share);
         ReplyOutcome::LeaseUpdated {
             tenant: name.clone(),
@@ -282,13 +289,12 @@
         }
     }
 
-    fn on_low_quota_total(
-        &mut self, name: &Name, reply: LowQuotaTotal, now: Now, actions: &mut Vec<Action>,
+    fn on_low_quota_reply(
+        &mut self, name: &Name, reply: LowQuotaReply, now: Now, actions: &mut Vec<Action>,
     ) -> ReplyOutcome {
         let Some(tenant) = self.tenants.get_mut(name) else { return ReplyOutcome::Nothing };
         let share = tenant.share(&self.plans);
-        let (ratio, gossip) = self.low_quota.record_total(tenant.salt(), reply, share, now);
-        actions.extend(gossip);
+        let ratio = self.low_quota.record_total(tenant.salt(), reply, share, now, actions);
         let waiting = tenant.take_waiting();
         if tenant.lease.record_reading() {
             let client_retry = waiting.iter().any(|request| request.client_retry);
@@ -307,7 +313,9 @@
             actions.push(Action::Log("counter unavailable: spending leases and fallback allowances".into()));
         }
         let Some(tenant) = self.tenants.get_mut(name) else { return ReplyOutcome::Nothing };
-        if let Some(PendingCall::Increment { unreported, .. }) = tenant.take_pending_call() {
+        if let Some(PendingCall::Increment(Increment { unreported, .. })) = tenant.take_pending_call() {
+            // Usage that may have been added is added once more, but units that may have been returned are
+            // not returned twice: the count may be too high, never too low.
             let may_be_added = result == CounterResult::Unknown;
             tenant.lease.add_unreported(if may_be_added { unreported.max(0.0) } else { unreported });
         }
--- a/policy/src/quota/lease.rs
+++ b/policy/src/quota/lease.rs
@@ -23,21 +23,27 @@
 /// Totals that differ by less are equal: the counter is exact to a limited number of digits.
 const TOTAL_TOLERANCE: f64 = 1e-6;
 
-/// The total of the window before a tenant was known.
+/// The total of an earlier window, read by a gateway that joins a running fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PreviousWindow {
     pub(crate) window: WindowNumber,
     pub(crate) total: f64,
 }
 
-/// A reply to an increment.
+/// What one counter call adds to the count of a window, in units.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct IncrementReply {
+pub(crate) struct Increment {
     pub(crate) window: WindowNumber,
-    /// The lease block that was added.
+    /// The lease block; of a low-quota tenant, the demand of the waiting requests.
     pub(crate) block: f64,
-    /// The unreported usage that was added.
+    /// The usage that had not been reported before; negative if units are returned.
     pub(crate) unreported: f64,
+}
+
+/// A reply to an increment.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct IncrementReply {
+    pub(crate) increment: Increment,
     /// The total after the increment.
     pub(crate) total: f64,
 }
@@ -153,7 +159,7 @@
         self.remaining -= units;
     }
 
-    /// Notes demand that is to be added to the count, of a low-quota tenant.
+    /// Adds to the usage that the next call reports, without a change of the remaining quota.
     pub(super) fn add_unreported(&mut self, units: f64) {
         self.unreported += units;
     }
@@ -219,7 +225,7 @@
             self.remaining = self.remaining.min(certain);
         }
         self.last_reply_at = now.local;
-        if reply.window == self.window {
+        if reply.increment.window == self.window {
             self.apply_total(reply, fallback, now, share);
         }
     }
@@ -228,24 +234,25 @@
         &mut self, reply: IncrementReply, fallback: Option<FallbackAllowance>, now: Now,
         share: QuotaShare<'_>,
     ) {
-        let IncrementReply { block, total, .. } = reply;
+        let IncrementReply { increment, total } = reply;
+        let block = increment.block;
         // What the fallback admitted during the call is paid from the block, as the block has been added.
         let paid = self.unreported.clamp(0.0, block);
         self.unreported -= paid;
         self.remaining += paid;
-        self.added += block + reply.unreported;
+        self.added += block + increment.unreported;
         if self.record_reading() {
             // The total covers the present window alone, which may have begun just now, so the fallback
             // allowance bounds the quota as well.
             let bound = fallback.map_or(f64::INFINITY, |fallback| fallback.units * share.gateways);
-            self.remaining = self.quota_by_first_total(reply.window, total, now, share).min(bound);
+            self.remaining = self.quota_by_first_total(increment.window, total, now, share).min(bound);
         } else if total + TOTAL_TOLERANCE < self.added {
             // The counter lost its counts: what this gateway holds is added again, so that new blocks of
             // other gateways do not come on top of it.
             self.unreported += self.added - total;
             self.remaining -= block;
         } else {
-            let used_by_others = total - self.last_total - reply.unreported;
+            let used_by_others = total - self.last_total - increment.unreported;
             self.remaining = (self.remaining - used_by_others).min(share.plan.burst);
         }
         self.last_total = total;
--- a/policy/src/quota/low_quota.rs
+++ b/policy/src/quota/low_quota.rs
@@ -6,8 +6,9 @@
 //! of the tenant's plan.
 
 use super::decayed_count::{admit_ratio, decayed};
+use super::lease::Increment;
 use super::share::QuotaShare;
-use super::window::{Now, WindowNumber};
+use super::window::Now;
 use super::{MAX_RETENTION, QuotaReading};
 use crate::settings::PlanIndex;
 use crate::{Action, Millis};
@@ -21,7 +22,8 @@
 const RATIO_DECAY_PERIODS: f64 = 4.0;
 /// The weight of the newest first reading in a plan's typical admit ratio.
 const NEWEST_RATIO_WEIGHT: f64 = 0.03;
-/// Gateways that may gossip report an admit ratio below this, and again when it falls by this factor.
+/// Gateways that may gossip report an admit ratio below this, and again when it falls by this factor or a
+/// refill period has passed.
 const GOSSIP_THRESHOLD: f64 = 0.7;
 /// The admit ratio is sent in one byte.
 const GOSSIP_RATIO_SCALE: f64 = 255.0;
@@ -48,13 +50,13 @@
     }
 }
 
-/// A total of a low-quota tenant's count.
+/// A reply to an increment of a low-quota tenant's count.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct LowQuotaTotal {
-    pub(super) window: WindowNumber,
+pub(super) struct LowQuotaReply {
+    pub(super) increment: Increment,
+    /// The total after the increment.
     pub(super) total: f64,
-    /// What the call itself added, and by which ratio of calls it was multiplied.
-    pub(super) block: f64,
+    /// The call ratio by now; the block was divided by the one at the time of the call.
     pub(super) call_ratio: f64,
 }
 
@@ -111,24 +113,27 @@
         if ratio > (1.0 - ratio) * cost { 1.0 } else { ratio }
     }
 
-    /// Caches the admit ratio that follows from a total. Returns the ratio, and the message to other gateways
-    /// if there is one to send.
+    /// Caches and returns the admit ratio that follows from a total, and gossips about it if it is news.
     pub(super) fn record_total(
-        &mut self, salt: u64, reply: LowQuotaTotal, share: QuotaShare<'_>, now: Now,
-    ) -> (f64, Option<Action>) {
+        &mut self, salt: u64, reply: LowQuotaReply, share: QuotaShare<'_>, now: Now,
+        actions: &mut Vec<Action>,
+    ) -> f64 {
         let refill_period = share.refill_period();
-        let elapsed = share.schedule().elapsed(reply.window, now);
-        // A request that weighs more than itself represents others that were not counted: that is not held
-        // against it.
-        let extrapolated = reply.block - reply.block * reply.call_ratio;
+        let Increment { window, block, .. } = reply.increment;
+        let elapsed = share.schedule().elapsed(window, now);
+        // The block stands for requests without a call as well; their part does not count against those that
+        // waited for this reply.
+        let extrapolated = block - block * reply.call_ratio;
         let demand = (decayed(reply.total, elapsed, refill_period) - extrapolated).max(0.0);
         let ratio = admit_ratio(demand, share.plan.burst, ADMIT_RATIO_EXPONENT);
         let before = self.by_salt.insert(salt, CachedAdmitRatio { ratio, updated_at: now.local });
         let before = before.unwrap_or(CachedAdmitRatio { ratio: 1.0, updated_at: f64::NEG_INFINITY });
         let changed =
             ratio < before.ratio * GOSSIP_THRESHOLD || now.local > before.updated_at + refill_period;
-        let report = self.gossip && ratio < GOSSIP_THRESHOLD && changed;
-        (ratio, report.then(|| Action::Gossip { bytes: encode(salt, ratio) }))
+        if self.gossip && ratio < GOSSIP_THRESHOLD && changed {
+            actions.push(Action::Gossip { bytes: encode(salt, ratio) });
+        }
+        ratio
     }
 
     /// Updates the typical ratio of a plan with the first reading of one of its tenants.
--- a/policy/src/quota/mod.rs
+++ b/policy/src/quota/mod.rs
@@ -46,6 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum QuotaReading {
     Known,
+    /// Its low-quota tenant has no cached admit ratio: what is typical of the plan decided.
     Missing,
 }
 
@@ -55,18 +56,24 @@
     Admit(QuotaReading),
     /// Wait for a reply of the counter.
     Wait,
-    /// Reject as over quota: so many units are missing, at a refill rate in units per second.
-    Reject {
-        missing_units: f64,
-        refill_rate: f64,
-    },
+    /// Reject as over quota.
+    Reject(QuotaShortfall),
 }
 
-/// How the gate came to its decision.
+/// What a request lacks that is over quota.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct QuotaShortfall {
+    pub(crate) missing_units: f64,
+    /// Units per second.
+    pub(crate) refill_rate: f64,
+}
+
+/// Whether the gate could decide with the counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum QuotaSource {
     Counter,
-    /// The counter is unavailable; it may be polled once the request is dealt with.
+    /// The counter is unavailable, and the fallback allowance decided. The engine may then poll the counter,
+    /// to notice its recovery.
     Fallback,
 }
 
--- a/policy/src/quota/tenant.rs
+++ b/policy/src/quota/tenant.rs
@@ -3,7 +3,7 @@
 use super::QuotaRequest;
 use super::demand::Demand;
 use super::fallback::{FallbackAllowance, FallbackStart};
-use super::lease::{IncrementReply, LeaseCache};
+use super::lease::{Increment, IncrementReply, LeaseCache};
 use super::share::{QuotaShare, refill_period};
 use super::window::{Now, WindowNumber};
 use crate::hash::hash;
@@ -11,6 +11,9 @@
 use crate::{Millis, QuotaPlan, RequestId};
 use std::collections::VecDeque;
 
+/// The highest bits of a salt are 0, as a gossip message holds the admit ratio in their place.
+const FREE_SALT_BITS: u32 = 8;
+
 /// The position of this gateway among those that serve a tenant, as stated by a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TenantArrival {
@@ -37,10 +40,10 @@
 /// A counter call without a reply.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum PendingCall {
-    /// Reads the total of the window before a tenant was known.
+    /// Reads the total of the window before the present one.
     ReadPrevious { window: WindowNumber },
     /// Adds a lease block and the unreported usage.
-    Increment { window: WindowNumber, block: f64, unreported: f64 },
+    Increment(Increment),
 }
 
 /// One tenant.
@@ -52,7 +55,7 @@
     gateways: f64,
     /// The position of this gateway among them.
     position: u32,
-    /// A hash of the name.
+    /// A hash of the name, of which the highest byte is free.
     salt: u64,
     pub(super) lease: LeaseCache,
     pub(super) demand: Demand,
@@ -71,7 +74,7 @@
             plan,
             gateways: 0.0,
             position: 0,
-            salt: hash(name) >> 8,
+            salt: hash(name) >> FREE_SALT_BITS,
             lease: LeaseCache::new(initial_quota, now),
             demand: Demand::new(now),
             fallback: None,
