--- a/policy/src/event.rs
+++ b/policy/src/event.rs
@@ -69,11 +69,11 @@
 /// The state of an endpoint by the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes its work and must be sent nothing new.
+    /// It finishes the requests that it has and must be sent no new ones.
     Draining,
-    /// It is gone.
+    /// It does not exist any more.
     Removed,
 }
 
@@ -182,12 +182,12 @@
 /// What a host knows of the clock that all gateways share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FleetTime {
-    /// The counter is being asked: counter keys can be named soon.
+    /// The first reply of the counter is awaited, and counter calls with it.
     Pending,
-    /// The counter did not reply: the host's own clock is used.
+    /// The counter has not replied, and its reply is not awaited: the host's own clock is used.
     Unavailable,
-    /// The fleet has a clock other than the host's own, and its offset is not yet known well enough to name
-    /// keys.
+    /// The fleet has a clock other than the host's own, and its offset is not yet known well enough to derive
+    /// counter keys from it.
     Converging,
     /// The offset is known.
     Synchronized {
--- a/policy/src/fleet_clock.rs
+++ b/policy/src/fleet_clock.rs
@@ -21,9 +21,10 @@
 pub const LIFE: Millis = 1000.0;
 /// The resolution of the time in the register.
 const RESOLUTION: Millis = 10.0;
-/// A mark is a time in steps of the resolution, times this, plus the tag. The sum of several marks, which
-/// exists for a moment when gateways write at the same time, has another tag or is too large.
+/// The register holds a mark: a time in steps of the resolution, times this, plus [`TAG`]. The sum of several
+/// marks, which exists for a moment when gateways write at the same time, has another tag or is too large.
 const TAG_RANGE: f64 = 16.0;
+/// By this remainder a single mark is recognized.
 const TAG: f64 = 5.0;
 /// A total below this is that of an empty register.
 const EMPTY_TOLERANCE: f64 = 0.5;
@@ -39,19 +40,22 @@
 const CONVERGING_INTERVAL: Millis = 50.0;
 /// The distance of bounds that are narrow.
 const NARROW_BOUNDS: Millis = 200.0;
+/// After this many reads a gateway uses the bounds that it has, narrow or not.
 const MAX_CONVERGING_READS: u32 = 30;
-/// The first and the longest pause before a call that failed is retried, while the time is not known.
+/// The mean pause after a first failure, while the time is not known, and after a read during a write.
 const FIRST_BACKOFF: Millis = 100.0;
+/// The longest mean pause between two calls that fail, while the time is not known.
 const MAX_BACKOFF: Millis = 3000.0;
-/// Once the time is known, this many lives of the register are skipped after a first failure, and at the
-/// most: a counter that cannot keep up has more useful calls to answer.
+/// Once the time is known, this many lives of the register are skipped after a first failure: a counter that
+/// cannot keep up has more useful calls to answer.
 const FIRST_SKIPPED_LIVES: f64 = 2.0;
+/// The most lives of the register that are skipped after a failure.
 const MAX_SKIPPED_LIVES: f64 = 32.0;
 /// The first calls of a fleet that starts all at once, and retries, are spread over this time for each
 /// gateway, as all of them go to one key.
 const SPREAD_PER_GATEWAY: Millis = 10.0;
-/// In a fleet of more gateways than this, keys are named by the own clock until the first read is answered.
-/// In a smaller one the answer comes at once and is awaited.
+/// In a fleet of more gateways than this, counter keys are derived from the gateway's own clock until the
+/// first read is answered. In a smaller one the answer comes at once and is awaited.
 const SMALL_FLEET: f64 = 16.0;
 
 /// A call of the counter that the host is to make.
@@ -79,7 +83,7 @@
     },
 }
 
-/// The bounds of the offset between the fleet's clock and the own clock.
+/// The bounds of the offset between the fleet's clock and the gateway's own.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Bounds {
     low: Millis,
@@ -99,18 +103,21 @@
 pub struct FleetClock {
     gateway_count: f64,
     random: Random,
-    /// How far the fleet's clock is ahead of the own clock, as far as is known.
+    /// How far the fleet's clock is ahead of the gateway's own, as far as is known.
     offset: Millis,
     /// The bounds of the true offset, once the register has been read or written.
     bounds: Option<Bounds>,
-    /// Whether the bounds were narrow enough once, or contained the own time.
+    /// Whether the offset is used: once the bounds were narrow, the gateway's own time was within the first
+    /// ones, it has written the register, or it has read often enough.
     synchronized: bool,
     /// The time that the register held last.
     written_at: Millis,
     call_in_flight: Option<Call>,
     /// The call to make once the present one has ended.
     next_call: Option<Call>,
+    /// When to make the next call.
     due: Millis,
+    /// The number of reads that narrowed the bounds.
     reads: u32,
     consecutive_failures: u32,
 }
@@ -178,7 +185,7 @@
         Some(RegisterCall { key: Self::register(), amount, ttl: LIFE })
     }
 
-    /// Takes in how a call ended.
+    /// Handles the end of the call in flight.
     pub fn answered(&mut self, now: Millis, result: CounterResult) {
         let Some(call) = self.call_in_flight.take() else { return };
         let CounterResult::Total(total) = result else { return self.on_failure(now) };
@@ -215,7 +222,7 @@
         };
     }
 
-    /// Takes in a read that was made at `made_at` and answered now, and found the time `written_at`.
+    /// Handles a read that was made at `made_at` and answered now, and found the time `written_at`.
     fn on_read(&mut self, made_at: Millis, now: Millis, written_at: Millis) {
         self.written_at = written_at;
         let low = centered(written_at - now);
@@ -232,7 +239,7 @@
         };
     }
 
-    /// Takes in a read that found the register empty: a gateway that knows the fleet's time writes it anew,
+    /// Handles a read that found the register empty: a gateway that knows the fleet's time writes it anew,
     /// and if no gateway has written it before, the fleet's time is this gateway's own.
     fn on_empty(&mut self, now: Millis) {
         match self.bounds {
--- a/policy/src/load_balancer.rs
+++ b/policy/src/load_balancer.rs
@@ -1,9 +1,11 @@
 //! Choosing the endpoint of an attempt.
 //!
-//! A gateway chooses among a sample of its own subset, and among the standby endpoints only if none of the
-//! sample has capacity. Endpoints that are ejected or at their concurrency limit are skipped. Of the others
-//! the one with the fewest attempts in flight is chosen, weighted by reported queues and by zone; endpoints
-//! in slow start are chosen first where the request's random sample allows them.
+//! Load should spread evenly over endpoints, although each gateway sees only its own attempts. A gateway
+//! chooses among a sample of its subset, and among the standby endpoints only if none of the sample has
+//! capacity. Endpoints that are ejected or at their concurrency limit are skipped. Of the others the one with
+//! the fewest attempts in flight is chosen, weighted by zone (weighted least-request balancing). In a large
+//! fleet the choice is random, weighted by attempts in flight and by the queues that endpoints report.
+//! Endpoints in slow start come first where the request's random draw allows them.
 
 use crate::concurrency_limit::is_large_fleet;
 use crate::endpoint::Endpoint;
@@ -22,12 +24,14 @@
 const CROSS_ZONE_PENALTY: f64 = 5.0;
 /// The weight of randomness among equal endpoints in a small fleet.
 const TIE_BREAK_WEIGHT: f64 = 0.1;
+/// The least draw whose logarithm is taken.
+const MIN_DRAW: f64 = 1e-12;
 
 /// An endpoint that a request may go to.
 #[derive(Clone, Copy)]
 struct Candidate {
     slot: Slot,
-    /// How many candidates share the requests that this one gets a part of.
+    /// How many candidates share the requests evenly: in slow start this one gets part of one share.
     group_size: f64,
 }
 
@@ -36,8 +40,8 @@
 struct RandomDraws {
     /// Drawn anew for each choice.
     choice: u64,
-    /// Drawn once for each request, for its first attempt alone: one that waits or is retried has no better
-    /// odds of an endpoint in slow start the more often it looks.
+    /// Drawn once for each request, so that one that waits does not get more chances of an endpoint in slow
+    /// start with each choice; `None` for a retry, which gets no chance.
     slow_start: Option<u64>,
 }
 
@@ -55,8 +59,7 @@
     pub(crate) fn choose(&self, id: RequestId, request: &Request, choice_draw: u64) -> Option<Slot> {
         let class = &self.settings.classes[request.class];
         let subset = self.endpoints.subset();
-        // What a request draws once stays the same each time it looks: its sample, and its odds of slow
-        // start.
+        // The same for each choice of a request.
         let request_sample = mix(self.seed ^ id);
         let draws =
             RandomDraws { choice: choice_draw, slow_start: request.is_fresh().then_some(request_sample) };
@@ -132,9 +135,10 @@
     fn warm_score(&self, endpoint: &Endpoint, class: &RequestClass, choice_draw: u64) -> f64 {
         let draw = unit(choice_draw ^ endpoint.salt);
         let weighted_draw = if is_large_fleet(self.settings.gateway_count) {
-            // A draw by weight, so that no two gateways prefer the same endpoints.
+            // An exponential variate for each candidate, of which the least wins: a random choice by weight,
+            // so that gateways do not all prefer the same endpoint.
             let queue = endpoint.expected_queue(self.now, class.latency_objective.max(1.0));
-            -draw.max(1e-12).ln() * (1.0 + queue).powi(2)
+            -draw.max(MIN_DRAW).ln() * (1.0 + queue).powi(2)
         } else {
             1.0 + TIE_BREAK_WEIGHT * draw
         };
--- a/policy/src/quota/counter_call.rs
+++ b/policy/src/quota/counter_call.rs
@@ -35,7 +35,7 @@
         let length = share.schedule().length();
         let low_quota = share.is_low_quota();
         let block = if low_quota {
-            // One call of so many is made, so it stands for the demand of those that are not.
+            // Only this fraction of the wanted calls is made, so each stands for the demand of others as well.
             low_quota_demand(tenant) / call_ratio
         } else {
             lease_block(tenant, share, draining)
--- a/policy/src/quota/counter_calls.rs
+++ b/policy/src/quota/counter_calls.rs
@@ -17,9 +17,10 @@
 const MAX_DECREASE_FACTOR: f64 = 2.0;
 /// The lowest call ratio: without calls a gateway would not learn that the counter has recovered.
 const MIN_CALL_RATIO: f64 = 0.1;
-/// The counter counts as unavailable after this many consecutive failures, as a single call may just be late,
+/// The counter counts as unavailable after this many consecutive failures at least: a single call may just be
+/// late.
 const UNAVAILABLE_AFTER_FAILURES: u32 = 2;
-/// if there has been no reply for this many call timeouts besides.
+/// The counter counts as unavailable only if the last reply is more than this many call timeouts ago.
 const UNAVAILABLE_AFTER_TIMEOUTS: f64 = 3.0;
 
 /// A change of the counter's availability, to be logged.
--- a/policy/src/quota/gate.rs
+++ b/policy/src/quota/gate.rs
@@ -1,4 +1,4 @@
-//! The admission gate over all tenants: decides for requests, and takes in the replies of the counter.
+//! The admission gate over all tenants: decides for requests, and handles the replies of the counter.
 
 use super::counter_call::{CounterCall, needs_previous_total};
 use super::counter_calls::{AvailabilityChange, CounterCalls};
@@ -73,26 +73,26 @@
     pub(crate) fn admit(
         &mut self, request: &QuotaRequest, now: Millis, random: &mut Random, actions: &mut Vec<Action>,
     ) -> Option<(QuotaDecision, QuotaSource)> {
-        let unavailable = self.is_counter_unavailable(now);
+        let counter_unavailable = self.is_counter_unavailable(now);
         let now = self.clock.now(now);
         let tenant = self.tenants.get_mut(&request.tenant)?;
         let share = tenant.share(&self.plans);
         tenant.lease.advance(now, share);
-        let available = tenant.lease.available();
+        let available_units = tenant.lease.available();
         let decision = if share.plan.rate <= 0.0 {
             QuotaDecision::Admit(QuotaReading::Known)
         } else if share.is_low_quota() {
             self.admit_low_quota(request, now.local, random)
         } else if !tenant.has_waiting() && tenant.lease.spend(request.units) {
-            if !unavailable && tenant.lease.needs_renewal(&tenant.demand, share) {
+            if !counter_unavailable && tenant.lease.needs_renewal(&tenant.demand, share) {
                 self.request_block(&request.tenant, now.local, actions);
             }
             QuotaDecision::Admit(QuotaReading::Known)
-        } else if unavailable {
+        } else if counter_unavailable {
             let decision = self.admit_from_fallback(request, now.local, random)?;
             return Some((decision, QuotaSource::Fallback));
-        } else if tenant.lease.has_reading() && available < request.units {
-            let missing_units = request.units - available;
+        } else if tenant.lease.has_reading() && available_units < request.units {
+            let missing_units = request.units - available_units;
             QuotaDecision::Reject(QuotaShortfall { missing_units, refill_rate: share.plan.rate })
         } else {
             tenant.wait(request);
@@ -248,7 +248,7 @@
         actions.push(Action::IncrementCounter { key: call.key, amount: call.amount, ttl: call.ttl });
     }
 
-    /// Takes in how a counter call ended.
+    /// Handles the end of a counter call.
     pub(crate) fn on_counter_reply(
         &mut self, key: u64, result: CounterResult, latency: Millis, now: Millis, actions: &mut Vec<Action>,
     ) -> ReplyOutcome {
--- a/policy/src/quota/lease.rs
+++ b/policy/src/quota/lease.rs
@@ -1,7 +1,7 @@
 //! The lease cache of one tenant: units leased from the shared counter, and what is known of the quota left.
 //!
 //! A gateway leases a block of units by adding it to the count of the present window, and spends the block
-//! locally. The total that comes back tells what all gateways have leased. Between readings the remaining
+//! locally. The total that is returned shows what all gateways have leased. Between readings the remaining
 //! quota refills at the plan's rate. Leased units expire with their window.
 
 use super::ceiling;
@@ -220,7 +220,7 @@
         self.advance(now, share);
         if share.plan.ceiling_rate > 0.0 && self.has_reading && self.last_reply_at < recovered_at {
             // The counter may have lost its counts while it was unavailable, so what other gateways spent is
-            // not in the total. Only the own allowance, or the initial quota, is surely left.
+            // not in the total. Only this gateway's allowance, or the initial quota, is surely left.
             let certain = fallback.map_or(ceiling::initial_quota(share.plan), |fallback| fallback.units);
             self.remaining = self.remaining.min(certain);
         }
--- a/policy/src/random.rs
+++ b/policy/src/random.rs
@@ -2,10 +2,10 @@
 
 use crate::hash::{mix, unit};
 
-/// The step of a Weyl sequence: 2^64 divided by the golden ratio.
+/// The step of a Weyl sequence: 2^64 divided by the golden ratio, made odd.
 pub(crate) const WEYL_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A hashed Weyl sequence.
+/// A hashed Weyl sequence (SplitMix64).
 #[derive(Clone, Debug)]
 pub(crate) struct Random {
     state: u64,
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -11,15 +11,16 @@
 const ANSWER_MARGIN_TICKS: f64 = 2.0;
 /// The longest pause of a host between reading its clock and writing, by the operators' terms.
 pub(crate) const MAX_HOST_PAUSE: Millis = 150.0;
-/// The most attempts of an idempotent request that may have run: what two endpoints cannot do is costly.
-const MAX_AMBIGUOUS_ATTEMPTS: u32 = 2;
+/// An idempotent request that may have run gets no more attempts than this, those that never ran included: a
+/// request that two endpoints have failed may overload a third.
+const MAX_ATTEMPTS_ONCE_AMBIGUOUS: u32 = 2;
 
 /// Returns whether a request may be forwarded once more.
 pub(crate) fn may_retry(request: &Request, settings: &Settings, now: Millis) -> bool {
     let class = &settings.classes[request.class];
     let safe = match (&request.first_ambiguous_attempt, class.idempotency) {
         (None, _) | (_, Idempotency::WithKey) => true,
-        (_, Idempotency::Idempotent) => request.attempts < MAX_AMBIGUOUS_ATTEMPTS,
+        (_, Idempotency::Idempotent) => request.attempts < MAX_ATTEMPTS_ONCE_AMBIGUOUS,
         (Some(_), Idempotency::NonIdempotent) => false,
     };
     safe && now < forward_deadline(request, settings) && request.attempts < settings.max_attempts
--- a/policy/src/settings.rs
+++ b/policy/src/settings.rs
@@ -122,7 +122,7 @@
     pub cancellation: bool,
     /// Whether the endpoint list has to be polled.
     pub polls_endpoints: bool,
-    /// A connection that takes longer to come up has failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Millis,
     /// The most attempts of one request.
     pub max_attempts: u32,
--- a/policy/src/slow_start.rs
+++ b/policy/src/slow_start.rs
@@ -1,18 +1,20 @@
 //! Slow start: an endpoint that has just started gets only the traffic that it surely has capacity for.
 //!
-//! Its capacity rises at least linearly from an initial fraction to all of it. Gateways keep to that without
-//! coordination: each request draws once, at random, whether it may go to a given endpoint in slow start.
+//! Its capacity rises from an initial fraction to all of it, at least linearly, and it fails when all
+//! gateways together send it much more. They keep to that without coordination: each request draws once, at
+//! random, whether it may go to a given endpoint in slow start.
 
 use crate::{Millis, Settings};
 
-/// An endpoint in slow start gets its capacity's share of an even part of all requests, times this at first
-/// and as much again as it warms up: the more it can take, the less random variation matters.
+/// An endpoint in slow start gets its capacity fraction of an even part of all requests, times this factor at
+/// a capacity of 0. The factor rises with the capacity fraction, as random variation matters less.
 const INITIAL_SHARE_FACTOR: f64 = 0.75;
 
-/// The clock by which endpoints report their starts, as far as the reported starts themselves show it: at
-/// each report it was at least as late as the start reported, and it runs on since then.
+/// The clock by which endpoints report their starts, as far as the reported starts themselves show it: when a
+/// start is reported, that clock has reached the time of the start.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StartClock {
+    /// How far that clock is ahead of this gateway's, at least.
     lead: Millis,
 }
 
--- a/policy/src/subset.rs
+++ b/policy/src/subset.rs
@@ -7,7 +7,7 @@
 //!
 //! Gateways are split into [`GATEWAYS_PER_ENDPOINT`] groups. Each group has its own ring: a hash puts every
 //! endpoint into one of as many bins as the group has gateways, and each bin belongs to one gateway. This is
-//! rendezvous hashing with bounded loads: a bin that holds more than its even part, and some slack, passes
+//! consistent hashing with bounded loads: a bin that holds more than its even part, and some slack, passes
 //! the rest on to the next. So each endpoint is in the subset of one gateway of each group, subsets are about
 //! equal in size, and an endpoint that comes or goes changes only its own bins and those that a passed-on
 //! endpoint reaches. Zones have rings of their own, so that every subset holds an even part of each zone and
@@ -33,9 +33,16 @@
 /// The index of an endpoint in the table of its owner.
 pub(crate) type Slot = usize;
 
+/// An endpoint on a ring; entries are ordered by position.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RingEntry {
+    position: u64,
+    slot: Slot,
+}
+
 /// The ready endpoints of one zone, in bins by their hash.
 struct Ring {
-    bins: Vec<Vec<(u64, Slot)>>,
+    bins: Vec<Vec<RingEntry>>,
     size: usize,
     /// From 0 to 1: which bins take one endpoint more, as an even part is not a whole number.
     shift: f64,
@@ -47,16 +54,17 @@
     }
 
     fn insert(&mut self, position: u64, slot: Slot) {
-        let bin = self.bin_of(position);
-        let bin = &mut self.bins[bin];
-        bin.insert(bin.partition_point(|entry| *entry < (position, slot)), (position, slot));
+        let index = self.bin_of(position);
+        let bin = &mut self.bins[index];
+        let new = RingEntry { position, slot };
+        bin.insert(bin.partition_point(|entry| *entry < new), new);
         self.size += 1;
     }
 
     fn remove(&mut self, position: u64, slot: Slot) {
         let bin = self.bin_of(position);
         let before = self.bins[bin].len();
-        self.bins[bin].retain(|entry| *entry != (position, slot));
+        self.bins[bin].retain(|entry| *entry != RingEntry { position, slot });
         self.size -= before - self.bins[bin].len();
     }
 
@@ -85,19 +93,20 @@
 
     /// Appends the endpoints of `joined` consecutive bins from `first` on, once each bin has passed on its
     /// excess.
-    fn assign(&self, first: usize, joined: usize, assigned: &mut Vec<(u64, Slot)>) {
+    fn assign(&self, first: usize, joined: usize, assigned: &mut Vec<RingEntry>) {
         let count = self.bins.len();
         let before = self.bins_passing_on_to(first);
         let mut passed_on = VecDeque::new();
         for step in 0..before + joined {
             let bin = (first + count - before + step) % count;
             let capacity = self.capacity(bin);
-            let own = &self.bins[bin];
-            let (kept, excess) = own.split_at(own.len().min(capacity));
-            let taken: Vec<_> = passed_on.drain(..passed_on.len().min(capacity - kept.len())).collect();
+            let entries = &self.bins[bin];
+            let (kept, excess) = entries.split_at(entries.len().min(capacity));
+            let free = capacity - kept.len();
+            let received: Vec<_> = passed_on.drain(..passed_on.len().min(free)).collect();
             passed_on.extend(excess);
             if step >= before {
-                assigned.extend(kept.iter().copied().chain(taken));
+                assigned.extend(kept.iter().copied().chain(received));
             }
         }
     }
@@ -105,7 +114,7 @@
     /// Iterates over the endpoints of all bins, from `first` on.
     fn iter_from(&self, first: usize) -> impl Iterator<Item = Slot> {
         let (before, after) = self.bins.split_at(first % self.bins.len());
-        after.iter().chain(before).flatten().map(|(_, slot)| *slot)
+        after.iter().chain(before).flatten().map(|entry| entry.slot)
     }
 }
 
@@ -117,12 +126,15 @@
 pub(crate) struct Subset {
     /// The group of the gateway.
     group: u64,
-    /// The gateway's bin, and the number of bins of its group.
+    /// The gateway's bin.
     bin: usize,
+    /// The number of bins of its group.
     bins: usize,
     ring_by_zone: BTreeMap<Name, Ring>,
     slots_by_cell: FxHashMap<u64, Vec<Slot>>,
+    /// The number of ready endpoints.
     ready: usize,
+    /// Whether endpoints were inserted or removed since members and standby endpoints were computed.
     stale: bool,
     members: Vec<Slot>,
     standby: Vec<Slot>,
@@ -146,7 +158,7 @@
         Self { group: group.into(), bin, bins, ..Self::default() }
     }
 
-    /// Returns where a hash stands on the group's ring.
+    /// Returns the position of a hash on the group's rings.
     fn position(&self, salt: u64) -> u64 {
         mix(salt ^ mix(self.group + 1))
     }
@@ -199,7 +211,7 @@
         }
         // Sorted by hash, so that neighbours are of different zones.
         assigned.sort_unstable();
-        self.members = assigned.into_iter().map(|(_, slot)| slot).collect();
+        self.members = assigned.into_iter().map(|entry| entry.slot).collect();
         self.refresh_standby();
     }
 
@@ -217,12 +229,12 @@
         }
     }
 
-    /// Returns how many endpoints of the whole fleet are ready.
+    /// Returns how many endpoints are ready, of all that are listed.
     pub(crate) fn ready(&self) -> usize {
         self.ready
     }
 
-    /// Returns this gateway's own endpoints.
+    /// Returns the endpoints of the subset.
     pub(crate) fn members(&self) -> &[Slot] {
         &self.members
     }
@@ -232,7 +244,7 @@
         &self.standby
     }
 
-    /// Iterates over endpoints of a zone, the gateway's own first, up to the number of standby endpoints.
+    /// Iterates over endpoints of a zone, from the gateway's bin on, up to the number of standby endpoints.
     pub(crate) fn of_zone(&self, zone: &Name) -> impl Iterator<Item = Slot> {
         let ring = self.ring_by_zone.get(zone).into_iter();
         ring.flat_map(|ring| ring.iter_from(self.bin)).take(STANDBY_SIZE)
