--- a/policy/src/quota/counter_call.rs
+++ b/policy/src/quota/counter_call.rs
@@ -35,7 +35,7 @@
         let length = share.schedule().length();
         let low_quota = share.is_low_quota();
         let block = if low_quota {
-            // Only this fraction of the wanted calls is made, so each stands for the demand of others as well.
+            // Only this fraction of the wanted calls is made: each stands for the demand of others as well.
             low_quota_demand(tenant) / call_ratio
         } else {
             lease_block(tenant, share, draining)
--- a/policy/src/quota/low_quota.rs
+++ b/policy/src/quota/low_quota.rs
@@ -2,8 +2,8 @@
 //!
 //! Blocks of such a quota would serve no request. Instead each tenant's demand over all gateways is counted
 //! as a decaying sum ([`decayed_count`](super::decayed_count)), and each gateway admits the fraction of
-//! requests that fits the quota by its total. Between readings the fraction is cached, and decays to what is typical
-//! of the tenant's plan.
+//! requests that fits the quota by its total. Between readings the fraction is cached, and decays to what is
+//! typical of the tenant's plan.
 
 use super::decayed_count::{admit_ratio, decayed};
 use super::lease::Increment;
--- a/policy/tests/common/gateway.rs
+++ b/policy/tests/common/gateway.rs
@@ -1,21 +1,25 @@
 //! A policy engine driven by scripted events.
 
 use super::actions::{counter_call, forwarded};
-use super::settings::endpoint;
+use super::settings::{arrival, endpoint};
 use ryefront_policy::*;
 
-/// An engine, its clock and the actions of the last event.
+/// An engine that handles events at a time which the test sets.
 pub(crate) struct TestGateway {
     pub(crate) engine: PolicyEngine,
+    /// The time of the next event.
     pub(crate) now: Millis,
+    /// The actions of the last event.
     pub(crate) actions: Vec<Action>,
 }
 
 impl TestGateway {
+    /// Returns a gateway that has been passed a list of ready endpoints.
     pub(crate) fn new(settings: Settings, endpoints: &[&str]) -> Self {
         Self::seeded(settings, 1, endpoints)
     }
 
+    /// The same, with a seed of its own.
     pub(crate) fn seeded(settings: Settings, seed: u64, endpoints: &[&str]) -> Self {
         let engine = PolicyEngine::new(settings, seed).expect("usable settings");
         let mut gateway = Self { engine, now: 1000.0, actions: Vec::new() };
@@ -24,6 +28,7 @@
         gateway
     }
 
+    /// Handles an event, and returns the actions.
     pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         self.actions.clear();
         self.engine.handle(self.now, event, &mut self.actions);
@@ -40,35 +45,19 @@
         all
     }
 
-    /// A first attempt of a tenant that two gateways serve.
+    /// Handles a first attempt of one unit, of a tenant that two gateways serve.
     pub(crate) fn request(&mut self, id: RequestId, tenant: &str, plan: &str, class: &str) -> Vec<Action> {
-        self.request_as(id, tenant, plan, class, false, 2)
-    }
-
-    /// A request of a tenant that so many gateways serve, as a first attempt or as the client's retry.
-    pub(crate) fn request_as(
-        &mut self, id: RequestId, tenant: &str, plan: &str, class: &str, client_retry: bool,
-        gateways_per_tenant: u32,
-    ) -> Vec<Action> {
-        self.handle(Event::RequestArrived(Arrival {
-            id,
-            tenant: tenant.into(),
-            plan: plan.into(),
-            class: class.into(),
-            units: 1.0,
-            client_retry,
-            time_to_deadline: 2000.0,
-            first_gateway: 0,
-            gateways_per_tenant,
-        }))
+        self.handle(Event::RequestArrived(arrival(id, tenant, plan, class)))
     }
 
+    /// Ends an attempt after 100 ms in flight.
     pub(crate) fn end_attempt(
         &mut self, id: RequestId, attempt: u32, endpoint: &Name, outcome: Outcome,
     ) -> Vec<Action> {
         self.end_attempt_after(100.0, id, attempt, endpoint, outcome)
     }
 
+    /// Ends an attempt after some time in flight; the request is finished if it was served.
     pub(crate) fn end_attempt_after(
         &mut self, latency: Millis, id: RequestId, attempt: u32, endpoint: &Name, outcome: Outcome,
     ) -> Vec<Action> {
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Helpers of the policy tests: settings, a gateway driven by scripted events, random numbers, virtual time,
-//! and a stand-in for the shared counter.
+//! Helpers of the policy tests: settings, requests, a gateway driven by scripted events, random numbers,
+//! virtual time, and a stand-in for the shared counter.
 #![allow(dead_code, unused_imports)]
 
 mod actions;
@@ -14,4 +14,4 @@
 pub(crate) use gateway::TestGateway;
 pub(crate) use random::Random;
 pub(crate) use schedule::Schedule;
-pub(crate) use settings::{endpoint, settings};
+pub(crate) use settings::{arrival, endpoint, settings};
--- a/policy/tests/common/settings.rs
+++ b/policy/tests/common/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and endpoint list entries for tests to change.
+//! Settings, requests and endpoint list entries for tests to change.
 
 use ryefront_policy::*;
 
@@ -63,3 +63,18 @@
     let cell = u64::from(!name.starts_with('a'));
     EndpointEntry { name: name.into(), zone: "z1".into(), cell, state, started_at }
 }
+
+/// Returns a first attempt of one unit, of a tenant that two gateways serve.
+pub(crate) fn arrival(id: RequestId, tenant: &str, plan: &str, class: &str) -> Arrival {
+    Arrival {
+        id,
+        tenant: tenant.into(),
+        plan: plan.into(),
+        class: class.into(),
+        units: 1.0,
+        client_retry: false,
+        time_to_deadline: 2000.0,
+        first_gateway: 0,
+        gateways_per_tenant: 2,
+    }
+}
--- a/policy/tests/endpoint_table.rs
+++ b/policy/tests/endpoint_table.rs
@@ -16,6 +16,7 @@
     }
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     gateway.handle(Event::EndpointSnapshot(vec![endpoint("a2", EndpointState::Ready, None)]));
+
     assert_eq!(
         &*gateway.forward_request(1, "c", "plain", "idempotent"),
         "a2",
@@ -27,14 +28,16 @@
 fn endpoint_in_slow_start_gets_less_than_its_share_of_requests() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let started_at = Some(gateway.now);
+
     gateway.handle(Event::EndpointDelta(vec![endpoint("a3", EndpointState::Ready, started_at)]));
     let mut to_slow_start = 0;
     for id in 1..=100 {
-        let at = gateway.forward_request(id, &format!("c{id}"), "plain", "idempotent");
-        to_slow_start += usize::from(&*at == "a3");
+        let chosen = gateway.forward_request(id, &format!("c{id}"), "plain", "idempotent");
+        to_slow_start += usize::from(&*chosen == "a3");
         gateway.now += 5.0;
-        gateway.end_attempt(id, 0, &at, Outcome::Served);
+        gateway.end_attempt(id, 0, &chosen, Outcome::Served);
     }
+
     // Two others share the rest: a tenth of it is a fifth of what one of them gets.
     assert!((1..=10).contains(&to_slow_start), "{to_slow_start}");
 }
@@ -44,12 +47,13 @@
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let (mut id, mut logs) = (0, Vec::new());
     let mut timeouts = 0;
+
     while timeouts < 2 {
         id += 1;
-        let at = gateway.forward_request(id, &format!("c{id}"), "plain", "non_idempotent");
-        let outcome = if &*at == "a1" { Outcome::TimedOut } else { Outcome::Served };
-        timeouts += usize::from(&*at == "a1");
-        logs = gateway.end_attempt(id, 0, &at, outcome);
+        let chosen = gateway.forward_request(id, &format!("c{id}"), "plain", "non_idempotent");
+        let outcome = if &*chosen == "a1" { Outcome::TimedOut } else { Outcome::Served };
+        timeouts += usize::from(&*chosen == "a1");
+        logs = gateway.end_attempt(id, 0, &chosen, outcome);
         if outcome == Outcome::TimedOut && timeouts == 1 {
             let next = gateway.forward_request(1000, "other", "plain", "non_idempotent");
             assert_eq!(&*next, "a2", "after one failure it is ejected for as long as the failure took");
@@ -58,17 +62,20 @@
         gateway.now += 150.0;
         assert!(id < 50);
     }
-    assert!(logs.iter().any(|a| matches!(a, Action::Log(line) if line.contains("a1 ejected"))));
+
+    assert!(logs.iter().any(|action| matches!(action, Action::Log(line) if line.contains("a1 ejected"))));
+
     for id in 101..=105 {
         assert_eq!(&*gateway.forward_request(id, &format!("c{id}"), "plain", "idempotent"), "a2");
         gateway.end_attempt(id, 0, &"a2".into(), Outcome::Served);
     }
     gateway.now += 1000.0;
     let retried = (201..=210).any(|id| {
-        let at = gateway.forward_request(id, &format!("c{id}"), "plain", "idempotent");
-        gateway.end_attempt(id, 0, &at, Outcome::Served);
-        &*at == "a1"
+        let chosen = gateway.forward_request(id, &format!("c{id}"), "plain", "idempotent");
+        gateway.end_attempt(id, 0, &chosen, Outcome::Served);
+        &*chosen == "a1"
     });
+
     assert!(retried, "it gets requests again after the backoff");
 }
 
@@ -76,20 +83,22 @@
 fn endpoint_is_ejected_after_three_consecutive_connection_resets() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
     let a1: Name = "a1".into();
+
     for (round, outcomes) in [
         (0, [Outcome::ConnectionReset, Outcome::ConnectionReset, Outcome::Served]),
         (1, [Outcome::ConnectionReset; 3]),
     ] {
-        for (n, outcome) in outcomes.into_iter().enumerate() {
-            let id = round * 10 + n as u64 + 1;
+        for (index, outcome) in outcomes.into_iter().enumerate() {
+            let id = round * 10 + index as u64 + 1;
             gateway.forward_request(id, &format!("c{id}"), "plain", "non_idempotent");
             gateway.end_attempt_after(1.0, id, 0, &a1, outcome);
         }
     }
     let actions = gateway.request(50, "c50", "plain", "non_idempotent");
-    let (name, amount) = counter_call(&actions).expect("a call");
+    let (key, amount) = counter_call(&actions).expect("a call");
+
     assert_eq!(
-        forward_count(&gateway.reply_total(name, amount)),
+        forward_count(&gateway.reply_total(key, amount)),
         0,
         "the third consecutive reset counts against the endpoint"
     );
@@ -99,13 +108,15 @@
 fn attempts_in_flight_are_bounded_and_excess_requests_rejected_early() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
     let (mut forwarded_count, mut rejected) = (0, 0);
+
     for id in 1..=40 {
         let mut actions = gateway.request(id, &format!("c{id}"), "plain", "idempotent");
-        let (name, amount) = counter_call(&actions).expect("a counter call");
-        actions.extend(gateway.reply_total(name, amount));
+        let (key, amount) = counter_call(&actions).expect("a counter call");
+        actions.extend(gateway.reply_total(key, amount));
         forwarded_count += forward_count(&actions);
         rejected += usize::from(is_rejected(&actions, id));
     }
+
     assert!((1..=3).contains(&forwarded_count), "five for two gateways: {forwarded_count}");
     assert!(rejected > 30, "{rejected}");
 }
@@ -113,19 +124,22 @@
 #[test]
 fn in_flight_limit_is_shared_by_the_tenant_s_gateways() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
-    let at = gateway.forward_request(1, "c", "capped", "idempotent");
+
+    let chosen = gateway.forward_request(1, "c", "capped", "idempotent");
+
     assert_eq!(
         forward_count(&gateway.request(2, "c", "capped", "idempotent")),
         0,
         "two in flight for two gateways: one each"
     );
-    assert_eq!(forwarded(&gateway.end_attempt(1, 0, &at, Outcome::Served)).map(|(id, _)| id), Some(2));
+    assert_eq!(forwarded(&gateway.end_attempt(1, 0, &chosen, Outcome::Served)).map(|(id, _)| id), Some(2));
 }
 
 #[test]
 fn removed_endpoints_are_dropped_once_nothing_is_in_flight() {
     let mut gateway = TestGateway::new(settings(), &["a0"]);
-    let at = gateway.forward_request(1, "c", "plain", "idempotent");
+
+    let chosen = gateway.forward_request(1, "c", "plain", "idempotent");
     for number in 1..=500 {
         let (old, new) = (format!("a{}", number - 1), format!("a{number}"));
         let changes =
@@ -140,29 +154,38 @@
         gateway.now += 25.0;
         gateway.handle(Event::Timer { token: 1 });
     }
+
     assert_eq!(
         gateway.engine.endpoint_count(),
         2,
         "the last one, and the first, at which an attempt is in flight"
     );
-    gateway.end_attempt(1, 0, &at, Outcome::Served);
+
+    gateway.end_attempt(1, 0, &chosen, Outcome::Served);
     gateway.handle(Event::Timer { token: 1 });
+
     assert_eq!(gateway.engine.endpoint_count(), 1);
 }
 
 #[test]
 fn keyed_retry_stays_in_its_cell_when_its_first_endpoint_is_dropped() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
-    let at = gateway.forward_request(1, "c", "plain", "keyed");
+
+    let chosen = gateway.forward_request(1, "c", "plain", "keyed");
     gateway.handle(Event::EndpointSnapshot(vec![endpoint("b1", EndpointState::Ready, None)]));
-    assert_eq!(forward_count(&gateway.end_attempt(1, 0, &at, Outcome::ConnectionReset)), 0);
+
+    assert_eq!(forward_count(&gateway.end_attempt(1, 0, &chosen, Outcome::ConnectionReset)), 0);
+
     gateway.now += 25.0;
+
     assert_eq!(
         forward_count(&gateway.handle(Event::Timer { token: 1 })),
         0,
         "another cell does not recognize the key"
     );
     assert_eq!(gateway.engine.endpoint_count(), 1);
+
     let actions = gateway.handle(Event::EndpointDelta(vec![endpoint("a2", EndpointState::Ready, None)]));
+
     assert_eq!(forwarded(&actions), Some((1, "a2".into())));
 }
--- a/policy/tests/fleet_clock.rs
+++ b/policy/tests/fleet_clock.rs
@@ -122,11 +122,13 @@
 fn synchronized_gateways_keep_their_time_and_calls_do_not_grow_with_the_fleet() {
     for gateways in [2, 16, 300, 900] {
         let mut fleet = Fleet::new(gateways, |_| 0.0);
+
         fleet.play(12_000.0);
         let before = fleet.calls;
         fleet.play(32_000.0);
         let each_second = (fleet.calls - before) as f64 / 20.0;
         println!("{gateways} gateways: {before} calls at the start, then {each_second:.1} a second");
+
         assert_eq!(fleet.spread(), (0.0, gateways as usize));
         assert!(each_second <= 8.0, "{gateways} gateways: {each_second} calls a second");
     }
@@ -136,12 +138,17 @@
 fn clocks_back_off_from_an_unavailable_counter_and_agree_after_its_recovery() {
     let mut fleet = Fleet::new(4, |n| if n == 1 { HOUR } else { 0.0 });
     fleet.counter_available = false;
+
     fleet.play(20_000.0);
+
     assert_eq!(fleet.spread().1, 0, "no gateway is synchronized");
     assert!(fleet.calls <= 4 * 20, "{} calls in 20 s", fleet.calls);
+
     // Marks whose replies were lost remain until they expire.
     fleet.counter_available = true;
+
     fleet.play(20_000.0 + 8.0 * LIFE);
     let (spread, synchronized) = fleet.spread();
+
     assert!(synchronized == 4 && spread <= 400.0, "{synchronized} synchronized, {spread} ms apart");
 }
--- a/policy/tests/large_fleet.rs
+++ b/policy/tests/large_fleet.rs
@@ -30,7 +30,8 @@
 
 /// A request of a tenant that all gateways serve.
 fn request(gateway: &mut TestGateway, id: RequestId, tenant: &str, client_retry: bool) -> Vec<Action> {
-    gateway.request_as(id, tenant, "plain", "idempotent", client_retry, GATEWAYS)
+    let arrival = arrival(id, tenant, "plain", "idempotent");
+    gateway.handle(Event::RequestArrived(Arrival { client_retry, gateways_per_tenant: GATEWAYS, ..arrival }))
 }
 
 #[test]
@@ -40,35 +41,41 @@
     let mut fleet_gateways = fleet(GATEWAYS, &names(20), false, false);
     let (mut admitted, mut totals) = (0, BTreeMap::<u64, f64>::new());
     let start = fleet_gateways[0].now;
+
     for (id, gateway) in (1..).zip(&mut fleet_gateways) {
         gateway.now = start + 3.0 * id as f64;
         let mut actions = request(gateway, id, "c", false);
-        if let Some((name, amount)) = counter_call(&actions) {
-            let total = totals.entry(name).or_default();
+        if let Some((key, amount)) = counter_call(&actions) {
+            let total = totals.entry(key).or_default();
             *total += amount;
-            actions.extend(gateway.reply_total(name, *total));
+            actions.extend(gateway.reply_total(key, *total));
         }
         admitted += forward_count(&actions);
     }
+
     assert!((5..=30).contains(&admitted), "{admitted} of {GATEWAYS} requests admitted");
 }
 
 #[test]
 fn each_gateway_of_a_large_fleet_uses_few_endpoints_and_all_are_used_evenly() {
     let mut fleet_gateways = fleet(GATEWAYS, &names(50), false, false);
+
     let (mut per_endpoint, mut most) = (BTreeMap::<Name, u32>::new(), 0);
     for gateway in &mut fleet_gateways {
         let mut used = BTreeSet::new();
         for id in 1..=20 {
-            let at = gateway.forward_request(id, &format!("c{id}"), "plain", "non_idempotent");
-            gateway.end_attempt(id, 0, &at, Outcome::Served);
-            *per_endpoint.entry(at.clone()).or_default() += 1;
-            used.insert(at);
+            let chosen = gateway.forward_request(id, &format!("c{id}"), "plain", "non_idempotent");
+            gateway.end_attempt(id, 0, &chosen, Outcome::Served);
+            *per_endpoint.entry(chosen.clone()).or_default() += 1;
+            used.insert(chosen);
         }
         most = most.max(used.len());
     }
+
     assert!(most <= 15, "a gateway used {most} endpoints");
+
     let busiest = per_endpoint.values().max().copied().unwrap_or_default();
+
     assert_eq!(per_endpoint.len(), 50);
     assert!(f64::from(busiest) < 1.6 * f64::from(GATEWAYS * 20 / 50), "{busiest}");
 }
@@ -79,13 +86,15 @@
         let endpoints = names(10);
         let mut fleet_gateways = fleet(gateways, &endpoints, true, false);
         let (mut to_slow_start, rounds) = (0, 5000 / gateways as u64);
+
         for id in 1..=rounds {
             for gateway in &mut fleet_gateways {
-                let at = gateway.forward_request(id, &format!("c{id}"), "plain", "idempotent");
-                to_slow_start += u32::from(&*at == "a9");
-                gateway.end_attempt(id, 0, &at, Outcome::Served);
+                let chosen = gateway.forward_request(id, &format!("c{id}"), "plain", "idempotent");
+                to_slow_start += u32::from(&*chosen == "a9");
+                gateway.end_attempt(id, 0, &chosen, Outcome::Served);
             }
         }
+
         // An even part is 500 of 5000; with 0.2 of its capacity a fifth of that, less the slow start's
         // margin.
         assert!((40..=120).contains(&to_slow_start), "{gateways} gateways: {to_slow_start}");
@@ -96,23 +105,25 @@
 fn endpoint_near_the_end_of_slow_start_gets_nearly_an_even_part_while_responses_are_late() {
     let mut fleet_gateways = fleet(GATEWAYS, &names(10), true, false);
     let (mut to_slow_start, mut all, mut id) = (0, 0, 0);
+
     for gateway in &mut fleet_gateways {
         gateway.now += 0.9 * settings().slow_start_duration;
         for round in 0..20 {
             id += 1;
             let actions = request(gateway, id, &format!("c{id}"), false);
             let name =
-                counter_call(&actions).map(|(name, _)| gateway.reply_total(name, 1.0)).unwrap_or(actions);
-            let Some((id, at)) = forwarded(&name) else { continue };
+                counter_call(&actions).map(|(key, _)| gateway.reply_total(key, 1.0)).unwrap_or(actions);
+            let Some((id, chosen)) = forwarded(&name) else { continue };
             // The responses of the first rounds are late, so that fewer first attempts are admitted.
             let latency = if round < 4 { 790.0 } else { 100.0 };
             all += u32::from(round >= 10);
-            to_slow_start += u32::from(round >= 10 && &*at == "a9");
-            gateway.end_attempt_after(latency, id, 0, &at, Outcome::Served);
+            to_slow_start += u32::from(round >= 10 && &*chosen == "a9");
+            gateway.end_attempt_after(latency, id, 0, &chosen, Outcome::Served);
         }
     }
     // An even part is a tenth.
     let share = f64::from(to_slow_start) / f64::from(all);
+
     assert!(all > 1000 && (0.08..=0.12).contains(&share), "{to_slow_start} of {all}");
 }
 
@@ -120,24 +131,27 @@
 fn endpoints_in_slow_start_get_only_their_share_when_no_other_is_left() {
     let mut fleet_gateways = fleet(GATEWAYS, &names(1), true, false);
     let mut admitted = 0;
+
     for gateway in &mut fleet_gateways {
         let mut actions = request(gateway, 1, "c", false);
-        if let Some((name, _)) = counter_call(&actions) {
-            actions.extend(gateway.reply_total(name, 1.0));
+        if let Some((key, _)) = counter_call(&actions) {
+            actions.extend(gateway.reply_total(key, 1.0));
         }
         admitted += forward_count(&actions);
     }
+
     assert!((40..=130).contains(&admitted), "about a sixth of {GATEWAYS}: {admitted}");
 }
 
 #[test]
 fn gateways_gossip_about_a_tenant_over_its_quota_and_apply_what_they_receive() {
     let mut fleet_gateways = fleet(GATEWAYS, &names(5), false, true);
-    let (name, amount) = counter_call(&request(&mut fleet_gateways[0], 1, "c", false)).expect("a call");
-    let actions = fleet_gateways[0].reply_total(name, 1000.0 + amount);
+
+    let (key, amount) = counter_call(&request(&mut fleet_gateways[0], 1, "c", false)).expect("a call");
+    let actions = fleet_gateways[0].reply_total(key, 1000.0 + amount);
     let message = actions
         .iter()
-        .find_map(|a| if let Action::Gossip { bytes } = a { Some(bytes.clone()) } else { None });
+        .find_map(|action| if let Action::Gossip { bytes } = action { Some(bytes.clone()) } else { None });
     assert!(is_rejected(&actions, 1));
     fleet_gateways[1]
         .handle(Event::GossipReceived { from: 0, bytes: message.expect("a message to the others") });
@@ -148,16 +162,13 @@
     let mut admitted = 0;
     for id in 1..=40 {
         let mut actions = request(&mut fleet_gateways[1], id, "c", false);
-        if let Some((name, _)) = counter_call(&actions) {
+        if let Some((key, _)) = counter_call(&actions) {
             let (outcome, latency) = (CounterResult::NotAdded, 1.0);
-            actions.extend(fleet_gateways[1].handle(Event::CounterReply {
-                key: name,
-                result: outcome,
-                latency,
-            }));
+            actions.extend(fleet_gateways[1].handle(Event::CounterReply { key, result: outcome, latency }));
         }
         admitted += forward_count(&actions);
     }
+
     assert!(admitted <= 4, "{admitted} of 40 admitted for a tenant a hundred times over its quota");
 }
 
@@ -165,14 +176,16 @@
 fn client_retry_reads_the_count_and_adds_nothing() {
     let mut fleet_gateways = fleet(GATEWAYS, &names(5), false, false);
     let mut increments = Vec::new();
+
     for id in 1..=60 {
         // Fast replies raise the call ratio: calls are then made for retries too.
         let actions = request(&mut fleet_gateways[0], id, &format!("c{id}"), id > 30);
-        if let Some((name, amount)) = counter_call(&actions) {
-            fleet_gateways[0].reply_total(name, 1.0);
+        if let Some((key, amount)) = counter_call(&actions) {
+            fleet_gateways[0].reply_total(key, 1.0);
             increments.push((id > 30, amount));
         }
     }
+
     assert!(increments.iter().any(|(client_retry, _)| *client_retry), "some calls are made for retries");
     // A first attempt weighs more the later in its window it is reported; a retry is no new demand.
     assert!(
@@ -189,41 +202,50 @@
 fn late_responses_shed_first_attempts_and_the_fleet_recovers() {
     let mut fleet_gateways = fleet(GATEWAYS, &names(5), false, false);
     let mut id = 0;
+
     let mut round = |gateway: &mut TestGateway, latency: Millis, requests: u64| {
         let mut admitted = 0;
         for _ in 0..requests {
             id += 1;
             let mut actions = request(gateway, id, &format!("c{id}"), false);
-            if let Some((name, amount)) = counter_call(&actions) {
-                actions.extend(gateway.reply_total(name, amount));
+            if let Some((key, amount)) = counter_call(&actions) {
+                actions.extend(gateway.reply_total(key, amount));
             }
-            for (id, endpoint) in actions.iter().filter_map(|a| forwarded(std::slice::from_ref(a))) {
+            for (id, endpoint) in actions.iter().filter_map(|action| forwarded(std::slice::from_ref(action)))
+            {
                 admitted += 1;
                 gateway.end_attempt_after(latency, id, 0, &endpoint, Outcome::Served);
             }
         }
         admitted
     };
+
     assert_eq!(round(&mut fleet_gateways[0], 100.0, 40), 40, "all are admitted while responses are in time");
+
     round(&mut fleet_gateways[0], 790.0, 40);
+
     assert!(round(&mut fleet_gateways[0], 790.0, 40) < 30, "late responses shed requests");
+
     round(&mut fleet_gateways[0], 100.0, 300);
+
     assert!(round(&mut fleet_gateways[0], 100.0, 40) > 36, "admission recovers");
 }
 
 #[test]
 fn gateways_whose_seeds_differ_in_the_last_bit_choose_differently() {
     let endpoints = names(10);
+
     let endpoints: Vec<&str> = endpoints.iter().map(String::as_str).collect();
     let chosen = |seed| {
         let mut gateway =
             TestGateway::seeded(Settings { gateway_count: GATEWAYS, ..settings() }, seed, &endpoints);
         let mut choose = |id| {
-            let at = gateway.forward_request(id, &format!("c{id}"), "plain", "non_idempotent");
-            gateway.end_attempt(id, 0, &at, Outcome::Served);
-            at
+            let chosen = gateway.forward_request(id, &format!("c{id}"), "plain", "non_idempotent");
+            gateway.end_attempt(id, 0, &chosen, Outcome::Served);
+            chosen
         };
         (1..=10).map(&mut choose).collect::<Vec<_>>()
     };
+
     assert!(chosen(1000) != chosen(1001), "{:?}", chosen(1000));
 }
--- a/policy/tests/quota_ceiling.rs
+++ b/policy/tests/quota_ceiling.rs
@@ -191,15 +191,9 @@
         let units = 1.0 + self.random.below(self.case.max_units) as f64;
         self.units.insert(id, units);
         let arrival = Arrival {
-            id,
-            tenant: "c".into(),
-            plan: "ceiling".into(),
-            class: "idempotent".into(),
             units,
-            client_retry: false,
-            time_to_deadline: 2000.0,
-            first_gateway: 0,
             gateways_per_tenant: self.case.gateways,
+            ..arrival(id, "c", "ceiling", "idempotent")
         };
         self.handle(gateway, Event::RequestArrived(arrival));
     }
--- a/policy/tests/quota_fallback.rs
+++ b/policy/tests/quota_fallback.rs
@@ -15,12 +15,12 @@
     while gateway.now < end {
         id += 1;
         let mut actions = gateway.request(id, "c", plan, "idempotent");
-        if let Some((name, _)) = counter_call(&actions) {
-            actions.extend(time_out_call(gateway, name));
+        if let Some((key, _)) = counter_call(&actions) {
+            actions.extend(time_out_call(gateway, key));
         }
-        if let Some((id, at)) = forwarded(&actions) {
+        if let Some((id, chosen)) = forwarded(&actions) {
             admitted += 1;
-            gateway.end_attempt(id, 0, &at, Outcome::Served);
+            gateway.end_attempt(id, 0, &chosen, Outcome::Served);
         }
         gateway.now += 20.0;
     }
@@ -33,13 +33,13 @@
     let mut admitted = Vec::new();
     let mut actions = gateway.request(id, "c", "ceiling", "idempotent");
     loop {
-        admitted.extend(actions.iter().filter_map(|a| forwarded(std::slice::from_ref(a))));
-        let Some((name, amount)) = counter_call(&actions) else { break };
+        admitted.extend(actions.iter().filter_map(|action| forwarded(std::slice::from_ref(action))));
+        let Some((key, amount)) = counter_call(&actions) else { break };
         *total += amount;
-        actions = gateway.reply_total(name, *total);
+        actions = gateway.reply_total(key, *total);
     }
-    for (id, at) in &admitted {
-        gateway.end_attempt(*id, 0, at, Outcome::Served);
+    for (id, chosen) in &admitted {
+        gateway.end_attempt(*id, 0, chosen, Outcome::Served);
     }
     admitted.len()
 }
@@ -47,8 +47,10 @@
 #[test]
 fn without_the_counter_a_gateway_spends_its_fallback_allowance_and_no_more() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
+
     // Burst 10 and rate 5 for two gateways: at most 5 at once and 2.5 a second, 30 in ten seconds.
     let admitted = admitted_without_counter(&mut gateway, "plain", 10_000.0);
+
     assert!((26..=30).contains(&admitted), "{admitted}");
 }
 
@@ -59,6 +61,7 @@
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let start = gateway.now;
     let (mut admitted, mut total, mut id) = (0.0, 0.0, 0);
+
     while gateway.now < start + 2000.0 {
         id += 1;
         admitted += request_under_ceiling(&mut gateway, id, &mut total) as f64;
@@ -69,15 +72,17 @@
     // Two gateways without the counter: each may spend the same allowance.
     admitted += 2.0 * admitted_without_counter(&mut gateway, "ceiling", 4000.0) as f64;
     let ceiling = 16.0 + 8.0 * 6.0 + 1.6;
+
     assert!(10.0 + admitted <= ceiling, "10 + {admitted} against {ceiling}");
 }
 
 #[test]
 fn units_held_are_added_again_when_the_counter_lost_its_count() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
-    let (name, amount) =
+
+    let (key, amount) =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
-    gateway.reply_total(name, amount);
+    gateway.reply_total(key, amount);
     let mut call = None;
     for id in 2..=12 {
         call = counter_call(&gateway.request(id, "c", "plain", "idempotent"));
@@ -85,9 +90,10 @@
             break;
         }
     }
-    let (name, added) = call.expect("a further block");
-    gateway.reply_total(name, added);
+    let (key, added) = call.expect("a further block");
+    gateway.reply_total(key, added);
     let report = counter_call(&gateway.advance(60.0, &[])).expect("the lost units are added again");
+
     assert!(report.1 >= amount, "{report:?}");
 }
 
@@ -96,22 +102,24 @@
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let (mut calls, mut lines, mut id) = (0, 0, 0);
     let end = gateway.now + 5000.0;
+
     while gateway.now < end {
         id += 1;
         let mut actions = gateway.request(id, &format!("c{id}"), "plain", "idempotent");
-        if let Some((name, _)) = counter_call(&actions) {
+        if let Some((key, _)) = counter_call(&actions) {
             calls += 1;
-            actions.extend(time_out_call(&mut gateway, name));
+            actions.extend(time_out_call(&mut gateway, key));
         }
         lines += actions
             .iter()
-            .filter(|a| matches!(a, Action::Log(line) if line.contains("counter unavailable")))
+            .filter(|action| matches!(action, Action::Log(line) if line.contains("counter unavailable")))
             .count();
-        if let Some((id, at)) = forwarded(&actions) {
-            gateway.end_attempt(id, 0, &at, Outcome::Served);
+        if let Some((id, chosen)) = forwarded(&actions) {
+            gateway.end_attempt(id, 0, &chosen, Outcome::Served);
         }
         gateway.now += 10.0;
     }
+
     assert_eq!(lines, 1);
     assert!(calls >= 3, "without calls the recovery would not be noticed: {calls}");
     assert!(f64::from(calls) <= 0.15 * id as f64, "{calls} calls for {id} requests");
@@ -120,11 +128,13 @@
 #[test]
 fn late_total_of_an_ended_window_grants_nothing() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
-    let (name, amount) =
+
+    let (key, amount) =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
     gateway.advance(100.0, &[1]);
     gateway.now += 5000.0;
-    let actions = gateway.reply_total(name, amount);
+    let actions = gateway.reply_total(key, amount);
+
     assert_eq!(forward_count(&actions), 0);
     assert_eq!(forward_count(&gateway.request(2, "c", "plain", "idempotent")), 0, "no units are leased");
 }
@@ -132,13 +142,14 @@
 #[test]
 fn after_unavailability_an_idle_gateway_does_not_assume_a_full_quota_under_a_ceiling() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
-    let at = gateway.forward_request(1, "c", "ceiling", "idempotent");
-    gateway.end_attempt(1, 0, &at, Outcome::Served);
+
+    let chosen = gateway.forward_request(1, "c", "ceiling", "idempotent");
+    gateway.end_attempt(1, 0, &chosen, Outcome::Served);
     gateway.now += 100.0;
     for id in 2..=3 {
-        let (name, _) = counter_call(&gateway.request(id, &format!("other{id}"), "plain", "idempotent"))
+        let (key, _) = counter_call(&gateway.request(id, &format!("other{id}"), "plain", "idempotent"))
             .expect("a counter call");
-        time_out_call(&mut gateway, name);
+        time_out_call(&mut gateway, key);
     }
     // For three seconds the other gateway may spend everything; then the counter recovers without its counts.
     gateway.now += 3000.0;
@@ -147,6 +158,7 @@
         id += 1;
         admitted += request_under_ceiling(&mut gateway, id, &mut total);
     }
+
     assert!(
         admitted <= 5 && total <= 5.0,
         "only the own fallback allowance: {admitted} admitted, {total} added"
--- a/policy/tests/quota_lease.rs
+++ b/policy/tests/quota_lease.rs
@@ -7,11 +7,14 @@
 #[test]
 fn first_block_is_burst_over_gateways_and_is_spent_locally() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3", "a4", "a5", "a6"]);
+
     let actions = gateway.request(1, "c", "plain", "idempotent");
-    let (name, amount) = counter_call(&actions).expect("a block is requested");
+    let (key, amount) = counter_call(&actions).expect("a block is requested");
+
     assert_eq!(amount, 5.0);
     assert_eq!(forward_count(&actions), 0, "the request waits for its block");
-    assert_eq!(forward_count(&gateway.reply_total(name, 5.0)), 1);
+    assert_eq!(forward_count(&gateway.reply_total(key, 5.0)), 1);
+
     for id in 2..=5 {
         let actions = gateway.request(id, "c", "plain", "idempotent");
         assert_eq!(forward_count(&actions), 1, "request {id} is paid from leased units");
@@ -21,52 +24,64 @@
 #[test]
 fn rejects_request_when_lease_and_window_are_spent_and_returns_the_rest() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-    let (name, amount) =
+
+    let (key, amount) =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
     // Other gateways hold the complete burst and more than the window has refilled by now.
-    let actions = gateway.reply_total(name, amount + 40.0);
-    let retry_after = actions.iter().find_map(|a| match a {
+    let actions = gateway.reply_total(key, amount + 40.0);
+    let retry_after = actions.iter().find_map(|action| match action {
         Action::Reject { id: 1, retry_after } => Some(*retry_after),
         _ => None,
     });
+
     assert!(retry_after.is_some_and(|ms| ms > 0.0), "{actions:?}");
+
     let (_, back) = counter_call(&actions).expect("what does not fit is returned");
+
     assert_eq!(back, -amount);
 }
 
 #[test]
 fn all_gateways_derive_the_same_counter_key_for_a_window() {
-    let mut other = settings();
-    other.gateway_index = 1;
-    let mut one = TestGateway::new(settings(), &["a1"]);
-    let mut two = TestGateway::new(other, &["a1"]);
-    let first = counter_call(&one.request(1, "c", "plain", "idempotent")).expect("a counter call").0;
-    assert_eq!(first, counter_call(&two.request(1, "c", "plain", "idempotent")).expect("a counter call").0);
+    let requested_key = |gateway: &mut TestGateway| {
+        counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call").0
+    };
+    let mut first = TestGateway::new(settings(), &["a1"]);
+    let mut second = TestGateway::new(Settings { gateway_index: 1, ..settings() }, &["a1"]);
     let mut later = TestGateway::new(settings(), &["a1"]);
     later.now += 20_000.0;
-    assert_ne!(first, counter_call(&later.request(1, "c", "plain", "idempotent")).expect("a counter call").0);
+
+    let key = requested_key(&mut first);
+
+    assert_eq!(key, requested_key(&mut second));
+    assert_ne!(key, requested_key(&mut later), "another window");
 }
 
 #[test]
 fn lease_expires_with_its_window() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-    let (name, amount) =
+
+    let (key, amount) =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
-    gateway.reply_total(name, amount);
+    gateway.reply_total(key, amount);
     gateway.now += 4_001.0;
     let actions = gateway.request(2, "c", "plain", "idempotent");
+
     assert_eq!(forward_count(&actions), 0, "the old block has expired");
-    assert!(counter_call(&actions).is_some_and(|(next, _)| next != name));
+    assert!(counter_call(&actions).is_some_and(|(next, _)| next != key));
 }
 
 #[test]
 fn request_that_is_not_forwarded_returns_its_units() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
-    let (name, amount) =
+
+    let (key, amount) =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
     gateway.handle(Event::EndpointSnapshot(Vec::new()));
-    let actions = gateway.reply_total(name, amount);
+    let actions = gateway.reply_total(key, amount);
+
     assert_eq!(forward_count(&actions), 0);
+
     gateway.advance(300.0, &[1]);
     gateway.handle(Event::EndpointSnapshot(vec![endpoint("a1", EndpointState::Ready, None)]));
     for id in 2..=3 {
@@ -78,9 +93,9 @@
 
 #[test]
 fn settled_units_are_added_with_a_later_call() {
-    let mut set = settings();
-    (set.settles_usage, set.max_units) = (true, 4.0);
-    let mut gateway = TestGateway::new(set, &["a1", "a2"]);
+    let settings = Settings { settles_usage: true, max_units: 4.0, ..settings() };
+    let mut gateway = TestGateway::new(settings, &["a1", "a2"]);
+
     let endpoint = gateway.forward_request(1, "c", "plain", "idempotent");
     let end = AttemptEnd {
         id: 1,
@@ -94,16 +109,19 @@
     };
     gateway.handle(Event::AttemptEnded(end));
     let actions = gateway.advance(30.0, &[]);
+
     assert!(counter_call(&actions).is_some_and(|(_, amount)| amount >= 3.0), "{actions:?}");
 }
 
 #[test]
 fn idle_tenants_are_dropped() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-    let at = gateway.forward_request(1, "c", "plain", "idempotent");
-    gateway.end_attempt(1, 0, &at, Outcome::Served);
+
+    let chosen = gateway.forward_request(1, "c", "plain", "idempotent");
+    gateway.end_attempt(1, 0, &chosen, Outcome::Served);
     gateway.advance(60_000.0, &[]);
     let actions = gateway.request(2, "c", "plain", "idempotent");
+
     assert_eq!(
         counter_call(&actions).expect("a counter call").1,
         5.0,
@@ -114,6 +132,7 @@
 #[test]
 fn request_that_waits_too_long_for_a_block_uses_the_fallback() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
+
     assert_eq!(forward_count(&gateway.request(1, "c", "plain", "idempotent")), 0);
     assert_eq!(forward_count(&gateway.advance(100.0, &[1])), 1);
 }
@@ -121,29 +140,38 @@
 #[test]
 fn leases_are_returned_while_draining_and_no_new_ones_requested() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-    let (name, amount) =
+
+    let (key, amount) =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
-    gateway.reply_total(name, amount);
+    gateway.reply_total(key, amount);
     gateway.handle(Event::DrainStarted);
     gateway.now += 25.0;
     let actions = gateway.handle(Event::Timer { token: 1 });
-    assert_eq!(counter_call(&actions), Some((name, 1.0 - amount)), "all units but the spent one");
-    gateway.reply_total(name, 1.0);
+
+    assert_eq!(counter_call(&actions), Some((key, 1.0 - amount)), "all units but the spent one");
+
+    gateway.reply_total(key, 1.0);
+
     assert_eq!(counter_call(&gateway.handle(Event::Timer { token: 1 })), None);
     // A late request leases what it needs and no more.
-    assert_eq!(counter_call(&gateway.request(2, "c", "plain", "idempotent")), Some((name, 1.0)));
+    assert_eq!(counter_call(&gateway.request(2, "c", "plain", "idempotent")), Some((key, 1.0)));
 }
 
 #[test]
 fn units_admitted_by_the_fallback_during_a_call_are_paid_from_its_block() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3", "a4"]);
-    let (name, amount) =
+
+    let (key, amount) =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
     // The call is late: its request is admitted by the fallback once it has waited long enough.
     gateway.now += 100.0;
+
     assert_eq!(forward_count(&gateway.handle(Event::Timer { token: 2 })), 1);
-    let actions = gateway.reply_total(name, amount);
+
+    let actions = gateway.reply_total(key, amount);
+
     assert_eq!(counter_call(&actions), None, "nothing is left to report");
+
     let forwarded: usize =
         (2..=6).map(|id| forward_count(&gateway.request(id, "c", "plain", "idempotent"))).sum();
     assert_eq!(forwarded, 4, "the block of five has paid for the first");
--- a/policy/tests/random_event_streams.rs
+++ b/policy/tests/random_event_streams.rs
@@ -216,7 +216,7 @@
         let time_to_deadline = 300.0 + self.random.below(2500) as f64;
         let request = TrackedRequest::new(class, self.gateway.now + time_to_deadline);
         self.checker.requests.insert(id, request);
-        arrival(&mut self.random, id, time_to_deadline, class)
+        random_arrival(&mut self.random, id, time_to_deadline, class)
     }
 
     fn draw_counter_reply(&mut self) -> Event {
@@ -246,7 +246,7 @@
     }
 }
 
-fn arrival(random: &mut Random, id: RequestId, time_to_deadline: Millis, class: usize) -> Event {
+fn random_arrival(random: &mut Random, id: RequestId, time_to_deadline: Millis, class: usize) -> Event {
     let plan = ["plain", "ceiling", "capped"][random.below(3) as usize];
     let tenant = if random.below(5) == 0 { 1000 + id } else { random.below(12) };
     Event::RequestArrived(Arrival {
--- a/policy/tests/slow_start.rs
+++ b/policy/tests/slow_start.rs
@@ -204,7 +204,8 @@
             arrives_at -= self.random.share().max(1e-12).ln() * mean_interval;
             id += 1;
             let gateway = index_by_weight(&weights, self.random.share() * total_weight);
-            self.schedule.at(arrives_at, Step::Handle(gateway, Event::RequestArrived(arrival(id, gateway))));
+            let arrival = Event::RequestArrived(arrival_at(gateway, id));
+            self.schedule.at(arrives_at, Step::Handle(gateway, arrival));
         }
     }
 
@@ -356,17 +357,12 @@
 }
 
 /// Returns a request of a tenant that one gateway serves.
-fn arrival(id: RequestId, gateway: usize) -> Arrival {
+fn arrival_at(gateway: usize, id: RequestId) -> Arrival {
     Arrival {
-        id,
-        tenant: format!("c{gateway}").as_str().into(),
-        plan: "plain".into(),
-        class: "idempotent".into(),
-        units: 1.0,
-        client_retry: false,
         time_to_deadline: 3000.0,
         first_gateway: gateway as u32,
         gateways_per_tenant: 1,
+        ..arrival(id, &format!("c{gateway}"), "plain", "idempotent")
     }
 }
 
--- a/policy/tests/subset.rs
+++ b/policy/tests/subset.rs
@@ -75,6 +75,7 @@
 #[test]
 fn subset_holds_an_even_part_of_each_zone() {
     let subsets = subsets(&fleet(300, 400, 3));
+
     for subset in &subsets {
         let mut zones = [0; 3];
         subset.iter().for_each(|name| zones[zone_of(name, 3)] += 1);
@@ -86,6 +87,7 @@
 #[test]
 fn replaced_endpoint_changes_few_entries_of_few_subsets() {
     let mut fleet_gateways = fleet(300, 200, 3);
+
     let (mut changed, changes) = (0, 20);
     for n in 0..changes {
         let before = subsets(&fleet_gateways);
@@ -97,8 +99,10 @@
         let entries = |(before, after): (&BTreeSet<Name>, &BTreeSet<Name>)| after.difference(before).count();
         changed += before.iter().zip(&subsets(&fleet_gateways)).map(entries).sum::<usize>();
     }
+
     // The new endpoint alone is an entry of 8 subsets. A fifth of an entry of each of 300 is the bound.
     assert!((8 * changes..=60 * changes).contains(&changed), "{changed} entries for {changes} changes");
+
     // The subset depends on the list alone, not on how the list came about.
     let list: Vec<_> = (changes..200 + changes)
         .rev()
@@ -115,9 +119,10 @@
 
 /// Makes one request of a tenant of its own. Returns where it was forwarded.
 fn attempt(gateway: &mut TestGateway, id: RequestId) -> Option<Name> {
-    let mut actions = gateway.request_as(id, &format!("c{id}"), "plain", "non_idempotent", false, 300);
-    if let Some((name, _)) = counter_call(&actions) {
-        actions.extend(gateway.reply_total(name, 1.0));
+    let arrival = arrival(id, &format!("c{id}"), "plain", "non_idempotent");
+    let mut actions = gateway.handle(Event::RequestArrived(Arrival { gateways_per_tenant: 300, ..arrival }));
+    if let Some((key, _)) = counter_call(&actions) {
+        actions.extend(gateway.reply_total(key, 1.0));
     }
     forwarded(&actions).map(|(_, endpoint)| endpoint)
 }
@@ -127,19 +132,20 @@
     let subset_of = |gateway: &TestGateway| gateway.engine.subset().cloned().collect::<BTreeSet<_>>();
     // They refuse connections: after one attempt each they are ejected, and standby endpoints are used.
     let mut gateway = fleet(300, 200, 3).swap_remove(7);
+
     let members = subset_of(&gateway);
     let (mut id, mut elsewhere) = (0, 0);
     while elsewhere < 20 {
         id += 1;
         assert!(id < 100, "{elsewhere} of {id} went elsewhere");
-        let Some(at) = attempt(&mut gateway, id) else { continue };
-        let failed = members.contains(&at);
+        let Some(chosen) = attempt(&mut gateway, id) else { continue };
+        let failed = members.contains(&chosen);
         elsewhere += u32::from(!failed);
         let actions = gateway.end_attempt_after(
             400.0,
             id,
             0,
-            &at,
+            &chosen,
             if failed { Outcome::TimedOut } else { Outcome::Served },
         );
         assert_eq!(forward_count(&actions), 0);
@@ -148,23 +154,27 @@
     let mut gateway = fleet(300, 200, 3).swap_remove(7);
     let drained: Vec<_> = members.iter().map(|n| entry(n, zone_of(n, 3), EndpointState::Draining)).collect();
     gateway.handle(Event::EndpointDelta(drained));
+
     assert!(!subset_of(&gateway).is_empty() && subset_of(&gateway).is_disjoint(&members));
-    assert!((1..=20).all(|id| attempt(&mut gateway, id).is_none_or(|at| {
-        gateway.end_attempt(id, 0, &at, Outcome::Served);
-        !members.contains(&at)
+    assert!((1..=20).all(|id| attempt(&mut gateway, id).is_none_or(|chosen| {
+        gateway.end_attempt(id, 0, &chosen, Outcome::Served);
+        !members.contains(&chosen)
     })));
+
     // They restart: in slow start they get their share, and the standby endpoints the rest.
     let mut gateway = fleet(300, 200, 3).swap_remove(7);
     let started_at = Some(gateway.now);
+
     let restarted =
         members.iter().map(|n| EndpointEntry { started_at, ..entry(n, zone_of(n, 3), EndpointState::Ready) });
     gateway.handle(Event::EndpointDelta(restarted.collect()));
     let mut to_slow_start = 0;
     for id in 1..=400 {
-        let at = attempt(&mut gateway, id).expect("an attempt");
-        to_slow_start += u32::from(members.contains(&at));
-        gateway.end_attempt(id, 0, &at, Outcome::Served);
+        let chosen = attempt(&mut gateway, id).expect("an attempt");
+        to_slow_start += u32::from(members.contains(&chosen));
+        gateway.end_attempt(id, 0, &chosen, Outcome::Served);
     }
+
     // At 0.2 of its capacity an endpoint gets about 0.15 of an even part.
     assert!((20..=120).contains(&to_slow_start), "{to_slow_start} of 400");
 }
@@ -173,6 +183,7 @@
 fn keyed_retry_finds_its_cell_or_zone_outside_the_subset() {
     for group in [DedupScope::Cell, DedupScope::Zone] {
         let mut changed = Settings { gateway_count: 300, ..settings() };
+
         changed.classes[1].dedup_scope = group;
         let mut gateway = TestGateway::seeded(changed, 5, &[]);
         // Each endpoint's neighbours are its cell; only two of a zone of their own are left after the first
@@ -185,13 +196,17 @@
             range.map(entry).collect::<Vec<_>>()
         };
         gateway.handle(Event::EndpointSnapshot(list(0..200)));
-        let mut actions = gateway.request_as(1, "c", "plain", "keyed", false, 300);
-        if let Some((name, _)) = counter_call(&actions) {
-            actions.extend(gateway.reply_total(name, 1.0));
+        let arrival = arrival(1, "c", "plain", "keyed");
+        let mut actions =
+            gateway.handle(Event::RequestArrived(Arrival { gateways_per_tenant: 300, ..arrival }));
+        if let Some((key, _)) = counter_call(&actions) {
+            actions.extend(gateway.reply_total(key, 1.0));
         }
-        let (_, at) = forwarded(&actions).expect("an attempt");
-        let next = forwarded(&gateway.end_attempt(1, 0, &at, Outcome::ConnectionReset)).expect("a retry").1;
+        let (_, chosen) = forwarded(&actions).expect("an attempt");
+        let next =
+            forwarded(&gateway.end_attempt(1, 0, &chosen, Outcome::ConnectionReset)).expect("a retry").1;
         let cell = |name: &Name| name[1..].parse::<usize>().expect("a number") / 4;
-        assert_eq!(cell(&at), cell(&next), "{group:?}");
+
+        assert_eq!(cell(&chosen), cell(&next), "{group:?}");
     }
 }
--- a/policy/tests/unit/decayed_count.rs
+++ b/policy/tests/unit/decayed_count.rs
@@ -23,6 +23,7 @@
             "{rate} units a second read as {read} of rate times refill period"
         );
     }
+
     assert!(
         demand_read(5.0, 0.5) < 10.0,
         "half a refill period at the full rate is well under a burst of 20"
@@ -37,6 +38,7 @@
         2100.0,
         REFILL_PERIOD,
     );
+
     assert!((early - late).abs() < 1e-9 && early < 3.0, "{early} {late}");
 }
 
