--- a/policy/tests/endpoint_table.rs
+++ b/policy/tests/endpoint_table.rs
@@ -9,19 +9,21 @@
     for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
         gateway.handle(Event::EndpointDelta(vec![endpoint("a1", state, None)]));
+
         for id in 1..=4 {
             assert_eq!(&*gateway.forward_request(id, "c", "plain", "idempotent"), "a2");
             gateway.end_attempt(id, 0, &"a2".into(), Outcome::Served);
         }
     }
+}
+
+#[test]
+fn endpoint_that_a_snapshot_does_not_name_is_removed() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
+
     gateway.handle(Event::EndpointSnapshot(vec![endpoint("a2", EndpointState::Ready, None)]));
 
-    assert_eq!(
-        &*gateway.forward_request(1, "c", "plain", "idempotent"),
-        "a2",
-        "an endpoint that a snapshot does not name is removed"
-    );
+    assert_eq!(&*gateway.forward_request(1, "c", "plain", "idempotent"), "a2");
 }
 
 #[test]
@@ -45,7 +47,8 @@
 #[test]
 fn consecutive_failures_eject_an_endpoint_until_it_responds() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-    let (mut id, mut logs) = (0, Vec::new());
+    let mut id = 0;
+    let mut logs = Vec::new();
     let mut timeouts = 0;
 
     while timeouts < 2 {
@@ -107,7 +110,8 @@
 #[test]
 fn attempts_in_flight_are_bounded_and_excess_requests_rejected_early() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
-    let (mut forwarded_count, mut rejected) = (0, 0);
+    let mut forwarded_count = 0;
+    let mut rejected = 0;
 
     for id in 1..=40 {
         let mut actions = gateway.request(id, &format!("c{id}"), "plain", "idempotent");
@@ -141,7 +145,8 @@
 
     let chosen = gateway.forward_request(1, "c", "plain", "idempotent");
     for number in 1..=500 {
-        let (old, new) = (format!("a{}", number - 1), format!("a{number}"));
+        let old = format!("a{}", number - 1);
+        let new = format!("a{number}");
         let changes =
             vec![endpoint(&old, EndpointState::Removed, None), endpoint(&new, EndpointState::Ready, None)];
         // By deltas and by snapshots alike.
--- a/policy/tests/fleet_clock.rs
+++ b/policy/tests/fleet_clock.rs
@@ -15,12 +15,31 @@
     Reply(usize, CounterResult),
 }
 
+struct Gateway {
+    clock: FleetClock,
+    /// How far its wall clock is ahead of virtual time.
+    skew: Millis,
+}
+
+/// The counter's key that holds the fleet's time.
+struct Register {
+    total: f64,
+    expires_at: Millis,
+}
+
+/// How well the gateways of a fleet agree.
+struct Agreement {
+    /// The largest difference between the fleet's times at two synchronized gateways.
+    spread: Millis,
+    /// The number of synchronized gateways.
+    synchronized: usize,
+}
+
 struct Fleet {
-    clocks: Vec<(FleetClock, Millis)>,
+    gateways: Vec<Gateway>,
     schedule: Schedule<Step>,
     random: Random,
-    /// The register's total and when it expires.
-    register: (f64, Millis),
+    register: Register,
     /// Whether the counter replies.
     counter_available: bool,
     calls: usize,
@@ -29,17 +48,17 @@
 impl Fleet {
     fn new(gateways: u32, skew: impl Fn(u32) -> Millis) -> Self {
         let mut fleet = Self {
-            clocks: Vec::new(),
+            gateways: Vec::new(),
             schedule: Schedule::new(),
             random: Random(u64::from(gateways)),
-            register: (0.0, 0.0),
+            register: Register { total: 0.0, expires_at: 0.0 },
             counter_available: true,
             calls: 0,
         };
         for number in 0..gateways {
             let skew = skew(number);
             let clock = FleetClock::new(gateways, u64::from(number), BEGIN + skew);
-            fleet.clocks.push((clock, skew));
+            fleet.gateways.push(Gateway { clock, skew });
             fleet.schedule.at(0.0, Step::Poll(number as usize));
         }
         fleet
@@ -57,8 +76,8 @@
                     self.schedule.at(now + 20.0, Step::Poll(number));
                 }
                 Step::Reply(number, outcome) => {
-                    let (clock, skew) = &mut self.clocks[number];
-                    clock.answered(BEGIN + now + *skew, outcome);
+                    let gateway = &mut self.gateways[number];
+                    gateway.clock.answered(BEGIN + now + gateway.skew, outcome);
                     self.call(number, now);
                 }
             }
@@ -66,27 +85,25 @@
     }
 
     fn call(&mut self, number: usize, now: Millis) {
-        let (clock, skew) = &mut self.clocks[number];
-        let Some(call) = clock.poll(BEGIN + now + *skew) else { return };
+        let gateway = &mut self.gateways[number];
+        let Some(call) = gateway.clock.poll(BEGIN + now + gateway.skew) else { return };
         self.calls += 1;
         let reached = now + 1.0 + self.random.share();
-        if self.register.1 <= reached {
-            self.register = (0.0, reached + call.ttl);
+        if self.register.expires_at <= reached {
+            self.register = Register { total: 0.0, expires_at: reached + call.ttl };
         }
-        self.register.0 += call.amount;
+        self.register.total += call.amount;
         let outcome = if self.counter_available {
-            CounterResult::Total(self.register.0)
+            CounterResult::Total(self.register.total)
         } else {
             CounterResult::Unknown
         };
         self.schedule.at(reached + 1.0, Step::Reply(number, outcome));
     }
 
-    /// Returns the largest difference between the fleet's times at all synchronized gateways, and their
-    /// number.
-    fn spread(&self) -> (Millis, usize) {
-        let synchronized = self.clocks.iter().filter_map(|(clock, skew)| match clock.time() {
-            FleetTime::Synchronized { offset } => Some(skew + offset),
+    fn agreement(&self) -> Agreement {
+        let synchronized = self.gateways.iter().filter_map(|gateway| match gateway.clock.time() {
+            FleetTime::Synchronized { offset } => Some(gateway.skew + offset),
             _ => None,
         });
         let times: Vec<_> = synchronized.collect();
@@ -95,7 +112,7 @@
         let (low, high) = times.iter().fold((0.0, 0.0), |(low, high): (f64, f64), time| {
             (low.min(centered(*time)), high.max(centered(*time)))
         });
-        (high - low, times.len())
+        Agreement { spread: high - low, synchronized: times.len() }
     }
 }
 
@@ -107,7 +124,7 @@
             // One of three is off.
             let mut fleet = Fleet::new(gateways, |n| if n % 3 == 1 { skew } else { 0.0 });
             fleet.play(10_000.0);
-            let (spread, synchronized) = fleet.spread();
+            let Agreement { spread, synchronized } = fleet.agreement();
             println!(
                 "{gateways} gateways, {skew} ms: {synchronized} synchronized, {spread:.0} ms apart, {} calls",
                 fleet.calls
@@ -129,7 +146,8 @@
         let each_second = (fleet.calls - before) as f64 / 20.0;
         println!("{gateways} gateways: {before} calls at the start, then {each_second:.1} a second");
 
-        assert_eq!(fleet.spread(), (0.0, gateways as usize));
+        let Agreement { spread, synchronized } = fleet.agreement();
+        assert_eq!((spread, synchronized), (0.0, gateways as usize));
         assert!(each_second <= 8.0, "{gateways} gateways: {each_second} calls a second");
     }
 }
@@ -141,14 +159,14 @@
 
     fleet.play(20_000.0);
 
-    assert_eq!(fleet.spread().1, 0, "no gateway is synchronized");
+    assert_eq!(fleet.agreement().synchronized, 0, "no gateway is synchronized");
     assert!(fleet.calls <= 4 * 20, "{} calls in 20 s", fleet.calls);
 
     // Marks whose replies were lost remain until they expire.
     fleet.counter_available = true;
 
     fleet.play(20_000.0 + 8.0 * LIFE);
-    let (spread, synchronized) = fleet.spread();
+    let Agreement { spread, synchronized } = fleet.agreement();
 
     assert!(synchronized == 4 && spread <= 400.0, "{synchronized} synchronized, {spread} ms apart");
 }
--- a/policy/tests/large_fleet.rs
+++ b/policy/tests/large_fleet.rs
@@ -7,44 +7,58 @@
 
 const GATEWAYS: u32 = 500;
 
-/// Returns all gateways of a fleet with these endpoints; with `slow_start` the last endpoint starts now.
-fn fleet(gateways: u32, endpoints: &[String], slow_start: bool, gossip: bool) -> Vec<TestGateway> {
+/// Returns all gateways of a fleet with these settings and endpoints.
+fn fleet_with(settings: &Settings, endpoints: &[String]) -> Vec<TestGateway> {
     let names: Vec<&str> = endpoints.iter().map(String::as_str).collect();
-    (0..gateways)
+    (0..settings.gateway_count)
         .map(|number| {
-            let settings = Settings { gateway_count: gateways, gateway_index: number, gossip, ..settings() };
-            let mut gateway = TestGateway::seeded(settings, 1000 + u64::from(number), &names);
-            if slow_start {
-                let started_at = Some(gateway.now);
-                let last = endpoints.last().expect("an endpoint");
-                gateway.handle(Event::EndpointDelta(vec![endpoint(last, EndpointState::Ready, started_at)]));
-            }
-            gateway
+            let settings = Settings { gateway_index: number, ..settings.clone() };
+            TestGateway::seeded(settings, 1000 + u64::from(number), &names)
         })
         .collect()
 }
 
+fn fleet(gateways: u32, endpoints: &[String]) -> Vec<TestGateway> {
+    fleet_with(&Settings { gateway_count: gateways, ..settings() }, endpoints)
+}
+
+/// Returns all gateways of a fleet in which the last endpoint starts now.
+fn fleet_with_slow_start(gateways: u32, endpoints: &[String]) -> Vec<TestGateway> {
+    let last = endpoints.last().expect("an endpoint");
+    let mut fleet_gateways = fleet(gateways, endpoints);
+    for gateway in &mut fleet_gateways {
+        let started_at = Some(gateway.now);
+        gateway.handle(Event::EndpointDelta(vec![endpoint(last, EndpointState::Ready, started_at)]));
+    }
+    fleet_gateways
+}
+
 fn names(count: usize) -> Vec<String> {
-    (0..count).map(|n| format!("a{n}")).collect()
+    (0..count).map(|index| format!("a{index}")).collect()
+}
+
+/// Returns a request of a tenant that all gateways serve.
+fn arrival_at_all(id: RequestId, tenant: &str) -> Arrival {
+    Arrival { gateways_per_tenant: GATEWAYS, ..arrival(id, tenant, "plain", "idempotent") }
 }
 
-/// A request of a tenant that all gateways serve.
-fn request(gateway: &mut TestGateway, id: RequestId, tenant: &str, client_retry: bool) -> Vec<Action> {
-    let arrival = arrival(id, tenant, "plain", "idempotent");
-    gateway.handle(Event::RequestArrived(Arrival { client_retry, gateways_per_tenant: GATEWAYS, ..arrival }))
+/// Handles a first attempt of a tenant that all gateways serve.
+fn request(gateway: &mut TestGateway, id: RequestId, tenant: &str) -> Vec<Action> {
+    gateway.handle(Event::RequestArrived(arrival_at_all(id, tenant)))
 }
 
 #[test]
 fn low_quota_holds_over_all_gateways() {
     // Burst 10, rate 5, demand 66 times as much: a burst at once, then the ratio that fits, which follows the
     // demand as it grows. Three bursts bound that; the quota itself grants 17 of 500.
-    let mut fleet_gateways = fleet(GATEWAYS, &names(20), false, false);
-    let (mut admitted, mut totals) = (0, BTreeMap::<u64, f64>::new());
+    let mut fleet_gateways = fleet(GATEWAYS, &names(20));
+    let mut admitted = 0;
+    let mut totals = BTreeMap::<u64, f64>::new();
     let start = fleet_gateways[0].now;
 
     for (id, gateway) in (1..).zip(&mut fleet_gateways) {
         gateway.now = start + 3.0 * id as f64;
-        let mut actions = request(gateway, id, "c", false);
+        let mut actions = request(gateway, id, "c");
         if let Some((key, amount)) = counter_call(&actions) {
             let total = totals.entry(key).or_default();
             *total += amount;
@@ -58,9 +72,10 @@
 
 #[test]
 fn each_gateway_of_a_large_fleet_uses_few_endpoints_and_all_are_used_evenly() {
-    let mut fleet_gateways = fleet(GATEWAYS, &names(50), false, false);
+    let mut fleet_gateways = fleet(GATEWAYS, &names(50));
 
-    let (mut per_endpoint, mut most) = (BTreeMap::<Name, u32>::new(), 0);
+    let mut per_endpoint = BTreeMap::<Name, u32>::new();
+    let mut most = 0;
     for gateway in &mut fleet_gateways {
         let mut used = BTreeSet::new();
         for id in 1..=20 {
@@ -84,8 +99,9 @@
 fn endpoint_in_slow_start_gets_its_share_from_the_first_millisecond_in_fleets_of_any_size() {
     for gateways in [2, GATEWAYS] {
         let endpoints = names(10);
-        let mut fleet_gateways = fleet(gateways, &endpoints, true, false);
-        let (mut to_slow_start, rounds) = (0, 5000 / gateways as u64);
+        let mut fleet_gateways = fleet_with_slow_start(gateways, &endpoints);
+        let rounds = 5000 / u64::from(gateways);
+        let mut to_slow_start = 0;
 
         for id in 1..=rounds {
             for gateway in &mut fleet_gateways {
@@ -103,17 +119,19 @@
 
 #[test]
 fn endpoint_near_the_end_of_slow_start_gets_nearly_an_even_part_while_responses_are_late() {
-    let mut fleet_gateways = fleet(GATEWAYS, &names(10), true, false);
-    let (mut to_slow_start, mut all, mut id) = (0, 0, 0);
+    let mut fleet_gateways = fleet_with_slow_start(GATEWAYS, &names(10));
+    let mut to_slow_start = 0;
+    let mut all = 0;
+    let mut id = 0;
 
     for gateway in &mut fleet_gateways {
         gateway.now += 0.9 * settings().slow_start_duration;
         for round in 0..20 {
             id += 1;
-            let actions = request(gateway, id, &format!("c{id}"), false);
-            let name =
+            let actions = request(gateway, id, &format!("c{id}"));
+            let actions =
                 counter_call(&actions).map(|(key, _)| gateway.reply_total(key, 1.0)).unwrap_or(actions);
-            let Some((id, chosen)) = forwarded(&name) else { continue };
+            let Some((id, chosen)) = forwarded(&actions) else { continue };
             // The responses of the first rounds are late, so that fewer first attempts are admitted.
             let latency = if round < 4 { 790.0 } else { 100.0 };
             all += u32::from(round >= 10);
@@ -129,11 +147,11 @@
 
 #[test]
 fn endpoints_in_slow_start_get_only_their_share_when_no_other_is_left() {
-    let mut fleet_gateways = fleet(GATEWAYS, &names(1), true, false);
+    let mut fleet_gateways = fleet_with_slow_start(GATEWAYS, &names(1));
     let mut admitted = 0;
 
     for gateway in &mut fleet_gateways {
-        let mut actions = request(gateway, 1, "c", false);
+        let mut actions = request(gateway, 1, "c");
         if let Some((key, _)) = counter_call(&actions) {
             actions.extend(gateway.reply_total(key, 1.0));
         }
@@ -145,9 +163,10 @@
 
 #[test]
 fn gateways_gossip_about_a_tenant_over_its_quota_and_apply_what_they_receive() {
-    let mut fleet_gateways = fleet(GATEWAYS, &names(5), false, true);
+    let settings = Settings { gateway_count: GATEWAYS, gossip: true, ..settings() };
+    let mut fleet_gateways = fleet_with(&settings, &names(5));
 
-    let (key, amount) = counter_call(&request(&mut fleet_gateways[0], 1, "c", false)).expect("a call");
+    let (key, amount) = counter_call(&request(&mut fleet_gateways[0], 1, "c")).expect("a call");
     let actions = fleet_gateways[0].reply_total(key, 1000.0 + amount);
     let message = actions
         .iter()
@@ -161,10 +180,10 @@
     // The counter rejects all calls: only the other gateway's message is left.
     let mut admitted = 0;
     for id in 1..=40 {
-        let mut actions = request(&mut fleet_gateways[1], id, "c", false);
+        let mut actions = request(&mut fleet_gateways[1], id, "c");
         if let Some((key, _)) = counter_call(&actions) {
-            let (outcome, latency) = (CounterResult::NotAdded, 1.0);
-            actions.extend(fleet_gateways[1].handle(Event::CounterReply { key, result: outcome, latency }));
+            let reply = Event::CounterReply { key, result: CounterResult::NotAdded, latency: 1.0 };
+            actions.extend(fleet_gateways[1].handle(reply));
         }
         admitted += forward_count(&actions);
     }
@@ -174,15 +193,17 @@
 
 #[test]
 fn client_retry_reads_the_count_and_adds_nothing() {
-    let mut fleet_gateways = fleet(GATEWAYS, &names(5), false, false);
+    let mut fleet_gateways = fleet(GATEWAYS, &names(5));
     let mut increments = Vec::new();
 
     for id in 1..=60 {
         // Fast replies raise the call ratio: calls are then made for retries too.
-        let actions = request(&mut fleet_gateways[0], id, &format!("c{id}"), id > 30);
+        let client_retry = id > 30;
+        let arrival = Arrival { client_retry, ..arrival_at_all(id, &format!("c{id}")) };
+        let actions = fleet_gateways[0].handle(Event::RequestArrived(arrival));
         if let Some((key, amount)) = counter_call(&actions) {
             fleet_gateways[0].reply_total(key, 1.0);
-            increments.push((id > 30, amount));
+            increments.push((client_retry, amount));
         }
     }
 
@@ -200,14 +221,14 @@
 
 #[test]
 fn late_responses_shed_first_attempts_and_the_fleet_recovers() {
-    let mut fleet_gateways = fleet(GATEWAYS, &names(5), false, false);
+    let mut fleet_gateways = fleet(GATEWAYS, &names(5));
     let mut id = 0;
 
     let mut round = |gateway: &mut TestGateway, latency: Millis, requests: u64| {
         let mut admitted = 0;
         for _ in 0..requests {
             id += 1;
-            let mut actions = request(gateway, id, &format!("c{id}"), false);
+            let mut actions = request(gateway, id, &format!("c{id}"));
             if let Some((key, amount)) = counter_call(&actions) {
                 actions.extend(gateway.reply_total(key, amount));
             }
--- a/policy/tests/quota_fallback.rs
+++ b/policy/tests/quota_fallback.rs
@@ -11,7 +11,9 @@
 
 /// Makes a request every 20 ms while the counter does not reply. Returns how many were admitted.
 fn admitted_without_counter(gateway: &mut TestGateway, plan: &str, span: Millis) -> usize {
-    let (mut admitted, mut id, end) = (0, 1_000_000, gateway.now + span);
+    let end = gateway.now + span;
+    let mut admitted = 0;
+    let mut id = 1_000_000;
     while gateway.now < end {
         id += 1;
         let mut actions = gateway.request(id, "c", plan, "idempotent");
@@ -60,7 +62,9 @@
     // lost, leases what it is granted, and then the counter becomes unavailable.
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let start = gateway.now;
-    let (mut admitted, mut total, mut id) = (0.0, 0.0, 0);
+    let mut admitted = 0.0;
+    let mut total = 0.0;
+    let mut id = 0;
 
     while gateway.now < start + 2000.0 {
         id += 1;
@@ -100,7 +104,9 @@
 #[test]
 fn unavailability_is_logged_once_and_the_counter_is_polled_for_few_requests() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
-    let (mut calls, mut lines, mut id) = (0, 0, 0);
+    let mut calls = 0;
+    let mut lines = 0;
+    let mut id = 0;
     let end = gateway.now + 5000.0;
 
     while gateway.now < end {
@@ -153,7 +159,9 @@
     }
     // For three seconds the other gateway may spend everything; then the counter recovers without its counts.
     gateway.now += 3000.0;
-    let (mut admitted, mut total, mut id) = (0, 0.0, 100);
+    let mut admitted = 0;
+    let mut total = 0.0;
+    let mut id = 100;
     for _ in 0..40 {
         id += 1;
         admitted += request_under_ceiling(&mut gateway, id, &mut total);
@@ -161,6 +169,6 @@
 
     assert!(
         admitted <= 5 && total <= 5.0,
-        "only the own fallback allowance: {admitted} admitted, {total} added"
+        "only this gateway's fallback allowance: {admitted} admitted, {total} added"
     );
 }
--- a/policy/tests/subset.rs
+++ b/policy/tests/subset.rs
@@ -31,7 +31,7 @@
 }
 
 /// Returns how many gateways have each endpoint in their subsets.
-fn shares(subsets: &[BTreeSet<Name>]) -> BTreeMap<Name, u32> {
+fn gateways_by_endpoint(subsets: &[BTreeSet<Name>]) -> BTreeMap<Name, u32> {
     let mut shares = BTreeMap::new();
     subsets.iter().flatten().for_each(|name| *shares.entry(name.clone()).or_default() += 1);
     shares
@@ -50,13 +50,14 @@
         (999, 800, 6),
     ] {
         let subsets = subsets(&fleet(gateways, count, zones));
-        let shares = shares(&subsets);
+        let shares = gateways_by_endpoint(&subsets);
         let mean = subsets.iter().map(BTreeSet::len).sum::<usize>() as f64 / count as f64;
         let most = f64::from(*shares.values().max().expect("a share"));
         assert!(shares.len() == count && most / mean <= 1.25, "{gateways} {count} {zones}: {most} of {mean}");
         assert!(mean >= 8.0 || mean == f64::from(gateways), "{gateways} {count} {zones}: {mean}");
         let sizes = || subsets.iter().map(BTreeSet::len);
-        let (least, largest) = (sizes().min().expect("one"), sizes().max().expect("one"));
+        let least = sizes().min().expect("a subset");
+        let largest = sizes().max().expect("a subset");
         let even = sizes().sum::<usize>() as f64 / f64::from(gateways);
         assert!(
             least >= 1 && largest as f64 <= 2.2 * even + 1.0,
@@ -88,7 +89,8 @@
 fn replaced_endpoint_changes_few_entries_of_few_subsets() {
     let mut fleet_gateways = fleet(300, 200, 3);
 
-    let (mut changed, changes) = (0, 20);
+    let changes = 20;
+    let mut changed = 0;
     for n in 0..changes {
         let before = subsets(&fleet_gateways);
         let (old, new) = (format!("b{n}"), format!("b{}", 200 + n));
@@ -127,32 +129,37 @@
     forwarded(&actions).map(|(_, endpoint)| endpoint)
 }
 
+fn subset_of(gateway: &TestGateway) -> BTreeSet<Name> {
+    gateway.engine.subset().cloned().collect()
+}
+
 #[test]
-fn standby_endpoints_take_over_when_the_subset_fails_drains_or_is_in_slow_start() {
-    let subset_of = |gateway: &TestGateway| gateway.engine.subset().cloned().collect::<BTreeSet<_>>();
-    // They refuse connections: after one attempt each they are ejected, and standby endpoints are used.
+fn standby_endpoints_take_over_when_the_subset_fails() {
     let mut gateway = fleet(300, 200, 3).swap_remove(7);
-
     let members = subset_of(&gateway);
-    let (mut id, mut elsewhere) = (0, 0);
+    let mut id = 0;
+    let mut elsewhere = 0;
+
+    // After one timeout each the members are ejected, and standby endpoints are used.
     while elsewhere < 20 {
         id += 1;
         assert!(id < 100, "{elsewhere} of {id} went elsewhere");
         let Some(chosen) = attempt(&mut gateway, id) else { continue };
         let failed = members.contains(&chosen);
         elsewhere += u32::from(!failed);
-        let actions = gateway.end_attempt_after(
-            400.0,
-            id,
-            0,
-            &chosen,
-            if failed { Outcome::TimedOut } else { Outcome::Served },
-        );
+        let outcome = if failed { Outcome::TimedOut } else { Outcome::Served };
+        let actions = gateway.end_attempt_after(400.0, id, 0, &chosen, outcome);
         assert_eq!(forward_count(&actions), 0);
     }
-    // They drain: the subset changes at once.
+}
+
+#[test]
+fn subset_changes_at_once_when_its_endpoints_drain() {
     let mut gateway = fleet(300, 200, 3).swap_remove(7);
-    let drained: Vec<_> = members.iter().map(|n| entry(n, zone_of(n, 3), EndpointState::Draining)).collect();
+    let members = subset_of(&gateway);
+    let drained: Vec<_> =
+        members.iter().map(|name| entry(name, zone_of(name, 3), EndpointState::Draining)).collect();
+
     gateway.handle(Event::EndpointDelta(drained));
 
     assert!(!subset_of(&gateway).is_empty() && subset_of(&gateway).is_disjoint(&members));
@@ -160,15 +167,18 @@
         gateway.end_attempt(id, 0, &chosen, Outcome::Served);
         !members.contains(&chosen)
     })));
+}
 
-    // They restart: in slow start they get their share, and the standby endpoints the rest.
+#[test]
+fn subset_in_slow_start_gets_its_share_and_standby_endpoints_the_rest() {
     let mut gateway = fleet(300, 200, 3).swap_remove(7);
+    let members = subset_of(&gateway);
     let started_at = Some(gateway.now);
-
-    let restarted =
-        members.iter().map(|n| EndpointEntry { started_at, ..entry(n, zone_of(n, 3), EndpointState::Ready) });
+    let ready = |name: &Name| entry(name, zone_of(name, 3), EndpointState::Ready);
+    let restarted = members.iter().map(|name| EndpointEntry { started_at, ..ready(name) });
     gateway.handle(Event::EndpointDelta(restarted.collect()));
     let mut to_slow_start = 0;
+
     for id in 1..=400 {
         let chosen = attempt(&mut gateway, id).expect("an attempt");
         to_slow_start += u32::from(members.contains(&chosen));
@@ -181,11 +191,10 @@
 
 #[test]
 fn keyed_retry_finds_its_cell_or_zone_outside_the_subset() {
-    for group in [DedupScope::Cell, DedupScope::Zone] {
-        let mut changed = Settings { gateway_count: 300, ..settings() };
-
-        changed.classes[1].dedup_scope = group;
-        let mut gateway = TestGateway::seeded(changed, 5, &[]);
+    for dedup_scope in [DedupScope::Cell, DedupScope::Zone] {
+        let mut settings = Settings { gateway_count: 300, ..settings() };
+        settings.classes[1].dedup_scope = dedup_scope;
+        let mut gateway = TestGateway::seeded(settings, 5, &[]);
         // Each endpoint's neighbours are its cell; only two of a zone of their own are left after the first
         // attempt.
         let list = |range: std::ops::Range<usize>| {
@@ -207,6 +216,6 @@
             forwarded(&gateway.end_attempt(1, 0, &chosen, Outcome::ConnectionReset)).expect("a retry").1;
         let cell = |name: &Name| name[1..].parse::<usize>().expect("a number") / 4;
 
-        assert_eq!(cell(&chosen), cell(&next), "{group:?}");
+        assert_eq!(cell(&chosen), cell(&next), "{dedup_scope:?}");
     }
 }
