--- a/policy/src/concurrency_limit.rs
+++ b/policy/src/concurrency_limit.rs
@@ -2,7 +2,7 @@
 //!
 //! The size of an endpoint and the load that other gateways put on it are not known. The limit bounds the
 //! attempts in flight so that most responses meet their latency objective: it grows and shrinks with each
-//! response, in time or late (multiplicative increase, multiplicative decrease).
+//! response, in time or late (an adaptive concurrency limit by multiplicative increase and decrease).
 
 use crate::response_latency::Timeliness;
 
--- a/policy/src/endpoint_table.rs
+++ b/policy/src/endpoint_table.rs
@@ -1,7 +1,7 @@
 //! The table of endpoints: the state of each by the endpoint list, and the attempts in flight.
 //!
-//! Endpoints are kept in slots, so that a request costs what its gateway's subset costs, and a change of the
-//! list what it names.
+//! There may be many thousand endpoints. They are kept in slots, so that the cost of a request grows with the
+//! gateway's subset alone, and that of a change of the list with the endpoints that it names.
 
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::endpoint::Endpoint;
@@ -22,9 +22,11 @@
 #[derive(Default)]
 pub(crate) struct EndpointTable {
     slots: Vec<Endpoint>,
+    /// The slots without an endpoint.
     free: Vec<Slot>,
     /// Used for single look-ups only, as its order is unspecified.
     slot_by_name: FxHashMap<Name, Slot>,
+    /// The slots of endpoints that are removed and not dropped yet.
     removed: BTreeSet<Slot>,
     subset: Subset,
     start_clock: StartClock,
@@ -128,8 +130,8 @@
     /// Drops endpoints that are removed and have nothing in flight, so that a fleet that is replaced again
     /// and again does not fill the memory.
     pub(crate) fn drop_removed(&mut self) {
-        let (slots, slot_by_name, free) = (&mut self.slots, &mut self.slot_by_name, &mut self.free);
-        self.removed.retain(|slot| {
+        let Self { slots, slot_by_name, free, removed, .. } = self;
+        removed.retain(|slot| {
             let idle = slots[*slot].in_flight == 0;
             if idle {
                 slot_by_name.remove(&slots[*slot].name);
@@ -184,12 +186,12 @@
     }
 
     /// Returns the most attempts that this gateway keeps in flight at all endpoints together: the limits of
-    /// its own subset, and the initial limit of every other endpoint.
+    /// its subset, and the initial limit of every other endpoint. At least one attempt is always allowed.
     pub(crate) fn total_limit(&self) -> f64 {
         let members = self.subset.members();
         let others = self.subset.ready() - members.len();
-        let own_limit = members.iter().map(|slot| self.slots[*slot].limit().value()).sum::<f64>();
-        let limit = own_limit + others as f64 * ConcurrencyLimit::initial(self.gateway_count).value();
+        let member_limits = members.iter().map(|slot| self.slots[*slot].limit().value()).sum::<f64>();
+        let limit = member_limits + others as f64 * ConcurrencyLimit::initial(self.gateway_count).value();
         limit.max(1.0)
     }
 }
--- a/policy/src/engine.rs
+++ b/policy/src/engine.rs
@@ -58,7 +58,7 @@
     /// When the settings cannot be used.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let (index, count) = (settings.gateway_index, settings.gateway_count);
+        let Settings { gateway_index: index, gateway_count: count, .. } = settings;
         let large_fleet = is_large_fleet(count);
         let subset =
             if large_fleet { Subset::new(index, count) } else { Subset::of_all_endpoints(index, count) };
@@ -336,12 +336,13 @@
 
     /// Finishes the request of an attempt that ended, or retries it.
     fn continue_request(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
-        let (id, outcome) = (end.id, end.outcome);
+        let id = end.id;
+        let served = end.outcome == Outcome::Served;
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if let Some(actual_units) = end.actual_units.filter(|_| outcome == Outcome::Served) {
+        if let Some(actual_units) = end.actual_units.filter(|_| served) {
             self.quota.settle_usage(&request.tenant, request.units, actual_units);
         }
-        if end.request_finished || outcome == Outcome::Served {
+        if end.request_finished || served {
             return self.remove(id);
         }
         self.quota.attempt_ended(&request.tenant);
--- a/policy/src/fleet_clock.rs
+++ b/policy/src/fleet_clock.rs
@@ -3,9 +3,10 @@
 //! Counter keys are derived from window numbers, so gateways must agree on the time. The wall clocks of their
 //! machines may be stepped and need not agree; what all gateways see alike is the counter. One fixed key, the
 //! register, holds the fleet's time at which it was written, and expires [`LIFE`] later. A gateway that reads
-//! it knows the fleet's time to within that; further reads narrow the bounds. A gateway that finds it empty
-//! writes what it takes the fleet's time to be. When the register expires, a few gateways chosen at random
-//! read it, so that the number of calls does not grow with the fleet.
+//! it knows the fleet's time to within that; further reads narrow the bounds, by intersection of intervals as
+//! in Marzullo's algorithm. A gateway that finds it empty writes the fleet's time by its own bounds. When the
+//! register expires, a few gateways chosen at random read it, so that the number of calls does not grow with
+//! the fleet.
 //!
 //! The state machine does no I/O: the host makes the calls that [`FleetClock::poll`] returns, reports how
 //! they ended, and passes [`FleetClock::time`] to its engine with
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -66,6 +66,17 @@
 //! # Ok::<(), ryefront_policy::SettingsError>(())
 //! ```
 //!
+//! # Modules in reading order
+//!
+//! - `settings`, `event`, `action`: what goes in and what comes out.
+//! - `engine`: the way of an event through the mechanisms; `request`: the requests in progress.
+//! - `quota`: leases on a shared count, the fallback while the counter is unavailable, low quotas, ceilings.
+//! - `load_shedder`, `wait_queue`, `response_latency`: what happens under overload.
+//! - `endpoint_table`, `endpoint`, `subset`, `load_balancer`: which endpoint an attempt is forwarded to.
+//! - `concurrency_limit`, `outlier_detection`, `slow_start`: how much an endpoint gets.
+//! - `retry`, `retry_after`: what may be retried, here and by clients.
+//! - [`fleet_clock`]: the time that gateways agree on through the counter.
+//!
 //! # What the host must provide
 //!
 //! - One engine for each gateway process. After a restart, a new engine with a fresh seed and the last
--- a/policy/src/quota/counter_calls.rs
+++ b/policy/src/quota/counter_calls.rs
@@ -1,5 +1,9 @@
-//! Calls to the shared counter: those in flight, their bound, back-pressure, and the counter's
-//! unavailability.
+//! Calls to the shared counter: those in flight, back-pressure, and the counter's unavailability.
+//!
+//! A counter that is overloaded or gone must not make requests late, and must not get more calls than it can
+//! answer. So the calls in flight are bounded, a call ratio follows the latency of replies (multiplicative
+//! increase, multiplicative decrease), and after repeated failures the counter counts as unavailable, much
+//! like an open circuit breaker.
 
 use crate::{CounterResult, Millis, Name, Settings};
 use std::collections::BTreeMap;
--- a/policy/src/quota/decayed_count.rs
+++ b/policy/src/quota/decayed_count.rs
@@ -1,10 +1,10 @@
 //! A shared count that decays: what a low-quota tenant requests at all gateways together.
 //!
-//! A counter can only be added to. So an increment made late in a window weighs more: by a factor `e` for
-//! each refill period since the window began. The total, divided by the weight of the moment at which it is
-//! read, is the demand with older demand decayed. At a steady rate that is the rate times the refill period:
-//! a total of one burst means a tenant that requests exactly its quota, and any gateway learns this from a
-//! single call at any time.
+//! A counter can only be added to, so old demand cannot be taken off it. Instead newer demand weighs more
+//! (forward decay): an increment is multiplied by `e` for each refill period since its window began. The
+//! total, divided by the weight of the moment at which it is read, is the demand with older demand decayed.
+//! At a steady rate that is the rate times the refill period: a total of one burst means a tenant that
+//! requests exactly its quota, and any gateway learns this from a single call at any time.
 
 use crate::Millis;
 
--- a/policy/src/quota/demand.rs
+++ b/policy/src/quota/demand.rs
@@ -1,4 +1,5 @@
-//! The demand of one tenant at this gateway, as an exponentially weighted moving average.
+//! The demand of one tenant at this gateway, as an exponentially weighted moving average. It determines the
+//! size of lease blocks.
 
 use crate::Millis;
 
--- a/policy/src/request.rs
+++ b/policy/src/request.rs
@@ -9,6 +9,9 @@
 /// Stands for the cell of an endpoint that is no longer known: no endpoint is in it.
 const UNKNOWN_CELL: u64 = u64::MAX;
 
+/// What a request counts as whose number of units makes no sense.
+const DEFAULT_UNITS: f64 = 1.0;
+
 /// What a request waits for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RequestStage {
@@ -59,7 +62,7 @@
             tenant: arrival.tenant.clone(),
             plan,
             class,
-            units: if arrival.units.is_finite() { arrival.units.max(0.0) } else { 1.0 },
+            units: if arrival.units.is_finite() { arrival.units.max(0.0) } else { DEFAULT_UNITS },
             client_retry: arrival.client_retry,
             arrived_at: now,
             deadline: now + arrival.time_to_deadline,
--- a/policy/src/settings.rs
+++ b/policy/src/settings.rs
@@ -173,8 +173,10 @@
             return Err(SettingsError::NoClasses);
         }
         if self.gateway_index >= self.gateway_count {
-            let (index, count) = (self.gateway_index, self.gateway_count);
-            return Err(SettingsError::GatewayIndexOutOfRange { index, count });
+            return Err(SettingsError::GatewayIndexOutOfRange {
+                index: self.gateway_index,
+                count: self.gateway_count,
+            });
         }
         self.classes.iter().try_for_each(RequestClass::validate)?;
         self.plans.iter().try_for_each(QuotaPlan::validate)?;
--- a/policy/src/wait_queue.rs
+++ b/policy/src/wait_queue.rs
@@ -1,4 +1,7 @@
-//! Requests that wait for an endpoint with capacity, those of a higher priority weight first.
+//! Requests that wait for an endpoint with capacity: a priority queue.
+//!
+//! Capacity should go to the requests of the highest priority weight first; those of equal weight are served
+//! in the order of their arrival in the queue.
 
 use crate::RequestId;
 use crate::request::{Request, RequestTable};
--- a/policy/tests/common/counter.rs
+++ b/policy/tests/common/counter.rs
@@ -3,8 +3,9 @@
 use ryefront_policy::{CounterResult, Event, Millis};
 use std::collections::BTreeMap;
 
-/// How long a call takes that is answered, and one that is not.
+/// How long a call takes that is answered.
 const REPLY_LATENCY: Millis = 2.0;
+/// How long a call takes that is not answered.
 const TIMEOUT: Millis = 50.0;
 
 /// The totals of all keys.
--- a/policy/tests/common/schedule.rs
+++ b/policy/tests/common/schedule.rs
@@ -5,7 +5,9 @@
 
 /// Steps by time; those of the same time come in the order in which they were added.
 pub(crate) struct Schedule<T> {
+    /// By time in microseconds, and by order.
     steps: BTreeMap<(u64, u64), T>,
+    /// The number of steps added so far.
     order: u64,
 }
 
@@ -20,6 +22,7 @@
         self.steps.insert(((when * 1000.0).ceil() as u64, self.order), step);
     }
 
+    /// Removes the next step, and returns it with its time.
     pub(crate) fn next(&mut self) -> Option<(Millis, T)> {
         self.steps.pop_first().map(|((at, _), step)| (at as f64 / 1000.0, step))
     }
--- a/policy/tests/fleet_clock.rs
+++ b/policy/tests/fleet_clock.rs
@@ -88,7 +88,7 @@
         let gateway = &mut self.gateways[number];
         let Some(call) = gateway.clock.poll(BEGIN + now + gateway.skew) else { return };
         self.calls += 1;
-        let reached = now + 1.0 + self.random.share();
+        let reached = now + 1.0 + self.random.unit();
         if self.register.expires_at <= reached {
             self.register = Register { total: 0.0, expires_at: reached + call.ttl };
         }
--- a/policy/tests/quota_ceiling.rs
+++ b/policy/tests/quota_ceiling.rs
@@ -177,7 +177,7 @@
                     self.schedule.at(now + self.case.restart_interval(), Step::Restart(next));
                 }
                 Step::Request(gateway) => {
-                    self.schedule.at(now + 20.0 + 20.0 * self.random.share(), Step::Request(gateway));
+                    self.schedule.at(now + 20.0 + 20.0 * self.random.unit(), Step::Request(gateway));
                     if now % ACTIVITY_PERIOD < ACTIVITY_PERIOD * self.case.active {
                         self.request(gateway);
                     }
--- a/policy/tests/slow_start/fleet.rs
+++ b/policy/tests/slow_start/fleet.rs
@@ -80,7 +80,7 @@
         for gateway in 0..self.gateways.len() {
             let list = listed.iter().map(|name| endpoint(name, EndpointState::Ready, None)).collect();
             self.schedule.at(0.0, Step::Handle(gateway, Event::EndpointSnapshot(list)));
-            let delay = self.random.share() * self.case.max_delay;
+            let delay = self.random.unit() * self.case.max_delay;
             self.schedule.at(START + delay, Step::LearnStart(gateway));
         }
     }
@@ -93,9 +93,9 @@
         let mut arrives_at = 0.0;
         let mut id = 0;
         while arrives_at < END {
-            arrives_at -= self.random.share().max(1e-12).ln() * mean_interval;
+            arrives_at -= self.random.unit().max(1e-12).ln() * mean_interval;
             id += 1;
-            let gateway = index_by_weight(&weights, self.random.share() * total_weight);
+            let gateway = index_by_weight(&weights, self.random.unit() * total_weight);
             let arrival = Event::RequestArrived(arrival_at(gateway, id));
             self.schedule.at(arrives_at, Step::Handle(gateway, arrival));
         }
@@ -188,7 +188,7 @@
         match self.case.failures {
             Failures::None => Outcome::Served,
             Failures::Fraction(fraction, failure) => {
-                if self.random.share() < fraction {
+                if self.random.unit() < fraction {
                     failure
                 } else {
                     Outcome::Served
--- a/settings/src/object.rs
+++ b/settings/src/object.rs
@@ -31,12 +31,13 @@
     },
 }
 
-/// One JSON object of the settings. A missing key reads as zero, a value of the wrong type is an error.
+/// One JSON object of the settings. A missing key reads as zero, as false or as empty, unless its method says
+/// otherwise; a value of the wrong type is an error.
 #[derive(Clone, Copy, Debug)]
 pub struct Object<'a>(pub(crate) &'a Value);
 
 impl<'a> Object<'a> {
-    /// Returns the object under a key, or an empty one if the key is missing.
+    /// Returns the object under a key of `value`, or an empty one if the key is missing.
     ///
     /// # Errors
     /// When the value under the key is not an object.
@@ -56,16 +57,19 @@
         self.value_or(key, "a number", 0.0, Value::as_f64)
     }
 
+    /// Returns the whole number under a key.
     pub(crate) fn count(&self, key: &str) -> Result<u32, ReadError> {
         let to_u32 = |value: &Value| value.as_u64().and_then(|number| u32::try_from(number).ok());
         self.value_or(key, "a small whole number", 0, to_u32)
     }
 
+    /// Returns whether the value under a key is true.
     pub(crate) fn flag(&self, key: &str) -> Result<bool, ReadError> {
         self.value_or(key, "true or false", false, Value::as_bool)
     }
 
-    /// Returns whether something is permitted. What the settings do not mention is permitted.
+    /// Returns whether something is permitted. A missing key reads as true: what the settings do not mention
+    /// is permitted.
     pub(crate) fn permits(&self, key: &str) -> Result<bool, ReadError> {
         self.value_or(key, "true or false", true, Value::as_bool)
     }
--- a/settings/src/settings.rs
+++ b/settings/src/settings.rs
@@ -54,7 +54,7 @@
     })
 }
 
-/// Clients that get no Retry-After follow none.
+/// Returns the longest Retry-After that clients follow: 0 where none may be sent to them.
 fn max_retry_after(permissions: Object<'_>) -> Result<Millis, ReadError> {
     if permissions.permits("retry-after")? { permissions.number("max-retry-after-ms") } else { Ok(0.0) }
 }
