--- a/policy/tests/common/actions.rs
+++ b/policy/tests/common/actions.rs
@@ -2,10 +2,17 @@
 
 use ryefront_policy::{Action, Name, RequestId};
 
-/// Returns key and amount of the first counter call.
-pub(crate) fn counter_call(actions: &[Action]) -> Option<(u64, f64)> {
+/// A call that the counter is to answer.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct CounterCall {
+    pub(crate) key: u64,
+    pub(crate) amount: f64,
+}
+
+/// Returns the first counter call.
+pub(crate) fn counter_call(actions: &[Action]) -> Option<CounterCall> {
     actions.iter().find_map(|action| match action {
-        Action::IncrementCounter { key, amount, .. } => Some((*key, *amount)),
+        Action::IncrementCounter { key, amount, .. } => Some(CounterCall { key: *key, amount: *amount }),
         _ => None,
     })
 }
--- a/policy/tests/common/gateway.rs
+++ b/policy/tests/common/gateway.rs
@@ -1,6 +1,6 @@
 //! A policy engine driven by scripted events.
 
-use super::actions::{counter_call, forwarded};
+use super::actions::{CounterCall, counter_call, forwarded};
 use super::settings::{arrival, endpoint};
 use ryefront_policy::*;
 
@@ -82,7 +82,7 @@
     /// request was forwarded.
     pub(crate) fn forward_request(&mut self, id: RequestId, tenant: &str, plan: &str, class: &str) -> Name {
         let mut actions = self.request(id, tenant, plan, class);
-        if let Some((key, amount)) = counter_call(&actions) {
+        if let Some(CounterCall { key, amount }) = counter_call(&actions) {
             actions = self.reply_total(key, amount);
         }
         forwarded(&actions).expect("forwarded").1
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -9,7 +9,7 @@
 mod schedule;
 mod settings;
 
-pub(crate) use actions::{counter_call, forward_count, forwarded, is_failed, is_rejected};
+pub(crate) use actions::{CounterCall, counter_call, forward_count, forwarded, is_failed, is_rejected};
 pub(crate) use counter::CounterStandIn;
 pub(crate) use gateway::TestGateway;
 pub(crate) use random::Random;
--- a/policy/tests/endpoint_table.rs
+++ b/policy/tests/endpoint_table.rs
@@ -98,7 +98,7 @@
         }
     }
     let actions = gateway.request(50, "c50", "plain", "non_idempotent");
-    let (key, amount) = counter_call(&actions).expect("a call");
+    let CounterCall { key, amount } = counter_call(&actions).expect("a call");
 
     assert_eq!(
         forward_count(&gateway.reply_total(key, amount)),
@@ -115,7 +115,7 @@
 
     for id in 1..=40 {
         let mut actions = gateway.request(id, &format!("c{id}"), "plain", "idempotent");
-        let (key, amount) = counter_call(&actions).expect("a counter call");
+        let CounterCall { key, amount } = counter_call(&actions).expect("a counter call");
         actions.extend(gateway.reply_total(key, amount));
         forwarded_count += forward_count(&actions);
         rejected += usize::from(is_rejected(&actions, id));
--- a/policy/tests/large_fleet.rs
+++ b/policy/tests/large_fleet.rs
@@ -59,7 +59,7 @@
     for (id, gateway) in (1..).zip(&mut fleet_gateways) {
         gateway.now = start + 3.0 * id as f64;
         let mut actions = request(gateway, id, "c");
-        if let Some((key, amount)) = counter_call(&actions) {
+        if let Some(CounterCall { key, amount }) = counter_call(&actions) {
             let total = totals.entry(key).or_default();
             *total += amount;
             actions.extend(gateway.reply_total(key, *total));
@@ -130,7 +130,7 @@
             id += 1;
             let actions = request(gateway, id, &format!("c{id}"));
             let actions =
-                counter_call(&actions).map(|(key, _)| gateway.reply_total(key, 1.0)).unwrap_or(actions);
+                counter_call(&actions).map(|call| gateway.reply_total(call.key, 1.0)).unwrap_or(actions);
             let Some((id, chosen)) = forwarded(&actions) else { continue };
             // The responses of the first rounds are late, so that fewer first attempts are admitted.
             let latency = if round < 4 { 790.0 } else { 100.0 };
@@ -152,7 +152,7 @@
 
     for gateway in &mut fleet_gateways {
         let mut actions = request(gateway, 1, "c");
-        if let Some((key, _)) = counter_call(&actions) {
+        if let Some(CounterCall { key, .. }) = counter_call(&actions) {
             actions.extend(gateway.reply_total(key, 1.0));
         }
         admitted += forward_count(&actions);
@@ -166,7 +166,7 @@
     let settings = Settings { gateway_count: GATEWAYS, gossip: true, ..settings() };
     let mut fleet_gateways = fleet_with(&settings, &names(5));
 
-    let (key, amount) = counter_call(&request(&mut fleet_gateways[0], 1, "c")).expect("a call");
+    let CounterCall { key, amount } = counter_call(&request(&mut fleet_gateways[0], 1, "c")).expect("a call");
     let actions = fleet_gateways[0].reply_total(key, 1000.0 + amount);
     let message = actions
         .iter()
@@ -181,7 +181,7 @@
     let mut admitted = 0;
     for id in 1..=40 {
         let mut actions = request(&mut fleet_gateways[1], id, "c");
-        if let Some((key, _)) = counter_call(&actions) {
+        if let Some(CounterCall { key, .. }) = counter_call(&actions) {
             let reply = Event::CounterReply { key, result: CounterResult::NotAdded, latency: 1.0 };
             actions.extend(fleet_gateways[1].handle(reply));
         }
@@ -201,7 +201,7 @@
         let client_retry = id > 30;
         let arrival = Arrival { client_retry, ..arrival_at_all(id, &format!("c{id}")) };
         let actions = fleet_gateways[0].handle(Event::RequestArrived(arrival));
-        if let Some((key, amount)) = counter_call(&actions) {
+        if let Some(CounterCall { key, amount }) = counter_call(&actions) {
             fleet_gateways[0].reply_total(key, 1.0);
             increments.push((client_retry, amount));
         }
@@ -229,7 +229,7 @@
         for _ in 0..requests {
             id += 1;
             let mut actions = request(gateway, id, &format!("c{id}"));
-            if let Some((key, amount)) = counter_call(&actions) {
+            if let Some(CounterCall { key, amount }) = counter_call(&actions) {
                 actions.extend(gateway.reply_total(key, amount));
             }
             for (id, endpoint) in actions.iter().filter_map(|action| forwarded(std::slice::from_ref(action)))
--- a/policy/tests/quota_fallback.rs
+++ b/policy/tests/quota_fallback.rs
@@ -17,7 +17,7 @@
     while gateway.now < end {
         id += 1;
         let mut actions = gateway.request(id, "c", plan, "idempotent");
-        if let Some((key, _)) = counter_call(&actions) {
+        if let Some(CounterCall { key, .. }) = counter_call(&actions) {
             actions.extend(time_out_call(gateway, key));
         }
         if let Some((id, chosen)) = forwarded(&actions) {
@@ -36,7 +36,7 @@
     let mut actions = gateway.request(id, "c", "ceiling", "idempotent");
     loop {
         admitted.extend(actions.iter().filter_map(|action| forwarded(std::slice::from_ref(action))));
-        let Some((key, amount)) = counter_call(&actions) else { break };
+        let Some(CounterCall { key, amount }) = counter_call(&actions) else { break };
         *total += amount;
         actions = gateway.reply_total(key, *total);
     }
@@ -84,7 +84,7 @@
 fn units_held_are_added_again_when_the_counter_lost_its_count() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
 
-    let (key, amount) =
+    let CounterCall { key, amount } =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
     gateway.reply_total(key, amount);
     let mut call = None;
@@ -94,11 +94,11 @@
             break;
         }
     }
-    let (key, added) = call.expect("a further block");
+    let CounterCall { key, amount: added } = call.expect("a further block");
     gateway.reply_total(key, added);
     let report = counter_call(&gateway.advance(60.0, &[])).expect("the lost units are added again");
 
-    assert!(report.1 >= amount, "{report:?}");
+    assert!(report.amount >= amount, "{report:?}");
 }
 
 #[test]
@@ -112,7 +112,7 @@
     while gateway.now < end {
         id += 1;
         let mut actions = gateway.request(id, &format!("c{id}"), "plain", "idempotent");
-        if let Some((key, _)) = counter_call(&actions) {
+        if let Some(CounterCall { key, .. }) = counter_call(&actions) {
             calls += 1;
             actions.extend(time_out_call(&mut gateway, key));
         }
@@ -135,7 +135,7 @@
 fn late_total_of_an_ended_window_grants_nothing() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
 
-    let (key, amount) =
+    let CounterCall { key, amount } =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
     gateway.advance(100.0, &[1]);
     gateway.now += 5000.0;
@@ -153,8 +153,9 @@
     gateway.end_attempt(1, 0, &chosen, Outcome::Served);
     gateway.now += 100.0;
     for id in 2..=3 {
-        let (key, _) = counter_call(&gateway.request(id, &format!("other{id}"), "plain", "idempotent"))
-            .expect("a counter call");
+        let CounterCall { key, .. } =
+            counter_call(&gateway.request(id, &format!("other{id}"), "plain", "idempotent"))
+                .expect("a counter call");
         time_out_call(&mut gateway, key);
     }
     // For three seconds the other gateway may spend everything; then the counter recovers without its counts.
--- a/policy/tests/quota_lease.rs
+++ b/policy/tests/quota_lease.rs
@@ -9,7 +9,7 @@
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3", "a4", "a5", "a6"]);
 
     let actions = gateway.request(1, "c", "plain", "idempotent");
-    let (key, amount) = counter_call(&actions).expect("a block is requested");
+    let CounterCall { key, amount } = counter_call(&actions).expect("a block is requested");
 
     assert_eq!(amount, 5.0);
     assert_eq!(forward_count(&actions), 0, "the request waits for its block");
@@ -25,7 +25,7 @@
 fn rejects_request_when_lease_and_window_are_spent_and_returns_the_rest() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
 
-    let (key, amount) =
+    let CounterCall { key, amount } =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
     // Other gateways hold the complete burst and more than the window has refilled by now.
     let actions = gateway.reply_total(key, amount + 40.0);
@@ -36,15 +36,15 @@
 
     assert!(retry_after.is_some_and(|ms| ms > 0.0), "{actions:?}");
 
-    let (_, back) = counter_call(&actions).expect("what does not fit is returned");
+    let call = counter_call(&actions).expect("what does not fit is returned");
 
-    assert_eq!(back, -amount);
+    assert_eq!(call.amount, -amount);
 }
 
 #[test]
 fn all_gateways_derive_the_same_counter_key_for_a_window() {
     let requested_key = |gateway: &mut TestGateway| {
-        counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call").0
+        counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call").key
     };
     let mut first = TestGateway::new(settings(), &["a1"]);
     let mut second = TestGateway::new(Settings { gateway_index: 1, ..settings() }, &["a1"]);
@@ -61,21 +61,21 @@
 fn lease_expires_with_its_window() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
 
-    let (key, amount) =
+    let CounterCall { key, amount } =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
     gateway.reply_total(key, amount);
     gateway.now += 4_001.0;
     let actions = gateway.request(2, "c", "plain", "idempotent");
 
     assert_eq!(forward_count(&actions), 0, "the old block has expired");
-    assert!(counter_call(&actions).is_some_and(|(next, _)| next != key));
+    assert!(counter_call(&actions).is_some_and(|next| next.key != key));
 }
 
 #[test]
 fn request_that_is_not_forwarded_returns_its_units() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
 
-    let (key, amount) =
+    let CounterCall { key, amount } =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
     gateway.handle(Event::EndpointSnapshot(Vec::new()));
     let actions = gateway.reply_total(key, amount);
@@ -110,7 +110,7 @@
     gateway.handle(Event::AttemptEnded(end));
     let actions = gateway.advance(30.0, &[]);
 
-    assert!(counter_call(&actions).is_some_and(|(_, amount)| amount >= 3.0), "{actions:?}");
+    assert!(counter_call(&actions).is_some_and(|call| call.amount >= 3.0), "{actions:?}");
 }
 
 #[test]
@@ -123,7 +123,7 @@
     let actions = gateway.request(2, "c", "plain", "idempotent");
 
     assert_eq!(
-        counter_call(&actions).expect("a counter call").1,
+        counter_call(&actions).expect("a counter call").amount,
         5.0,
         "a dropped tenant starts with a first block again"
     );
@@ -141,27 +141,34 @@
 fn leases_are_returned_while_draining_and_no_new_ones_requested() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
 
-    let (key, amount) =
+    let CounterCall { key, amount } =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
     gateway.reply_total(key, amount);
     gateway.handle(Event::DrainStarted);
     gateway.now += 25.0;
     let actions = gateway.handle(Event::Timer { token: 1 });
 
-    assert_eq!(counter_call(&actions), Some((key, 1.0 - amount)), "all units but the spent one");
+    assert_eq!(
+        counter_call(&actions),
+        Some(CounterCall { key, amount: 1.0 - amount }),
+        "all units but the spent one"
+    );
 
     gateway.reply_total(key, 1.0);
 
     assert_eq!(counter_call(&gateway.handle(Event::Timer { token: 1 })), None);
     // A late request leases what it needs and no more.
-    assert_eq!(counter_call(&gateway.request(2, "c", "plain", "idempotent")), Some((key, 1.0)));
+    assert_eq!(
+        counter_call(&gateway.request(2, "c", "plain", "idempotent")),
+        Some(CounterCall { key, amount: 1.0 })
+    );
 }
 
 #[test]
 fn units_admitted_by_the_fallback_during_a_call_are_paid_from_its_block() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3", "a4"]);
 
-    let (key, amount) =
+    let CounterCall { key, amount } =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
     // The call is late: its request is admitted by the fallback once it has waited long enough.
     gateway.now += 100.0;
--- a/policy/tests/retry.rs
+++ b/policy/tests/retry.rs
@@ -116,7 +116,7 @@
 fn request_without_an_endpoint_waits_and_is_rejected_once() {
     let mut gateway = TestGateway::new(settings(), &[]);
 
-    let (key, amount) =
+    let CounterCall { key, amount } =
         counter_call(&gateway.request(1, "c", "plain", "non_idempotent")).expect("a counter call");
     let actions = gateway.reply_total(key, amount);
 
@@ -129,7 +129,7 @@
 fn disconnected_client_gets_no_answer() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
 
-    let (key, amount) =
+    let CounterCall { key, amount } =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
     gateway.handle(Event::ClientDisconnected { id: 1 });
     let actions = gateway.reply_total(key, amount);
@@ -233,7 +233,7 @@
         ..arrival(1, "c", "plain", "idempotent")
     };
 
-    let (key, amount) =
+    let CounterCall { key, amount } =
         counter_call(&gateway.handle(Event::RequestArrived(arrival))).expect("a counter call");
     let chosen = forwarded(&gateway.reply_total(key, amount)).expect("forwarded").1;
     gateway.now += 1900.0;
--- a/policy/tests/subset.rs
+++ b/policy/tests/subset.rs
@@ -123,7 +123,7 @@
 fn attempt(gateway: &mut TestGateway, id: RequestId) -> Option<Name> {
     let arrival = arrival(id, &format!("c{id}"), "plain", "non_idempotent");
     let mut actions = gateway.handle(Event::RequestArrived(Arrival { gateways_per_tenant: 300, ..arrival }));
-    if let Some((key, _)) = counter_call(&actions) {
+    if let Some(CounterCall { key, .. }) = counter_call(&actions) {
         actions.extend(gateway.reply_total(key, 1.0));
     }
     forwarded(&actions).map(|(_, endpoint)| endpoint)
@@ -208,7 +208,7 @@
         let arrival = arrival(1, "c", "plain", "keyed");
         let mut actions =
             gateway.handle(Event::RequestArrived(Arrival { gateways_per_tenant: 300, ..arrival }));
-        if let Some((key, _)) = counter_call(&actions) {
+        if let Some(CounterCall { key, .. }) = counter_call(&actions) {
             actions.extend(gateway.reply_total(key, 1.0));
         }
         let (_, chosen) = forwarded(&actions).expect("an attempt");
