--- a/policy/src/event.rs
+++ b/policy/src/event.rs
@@ -182,7 +182,7 @@
 /// What a host knows of the clock that all gateways share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FleetTime {
-    /// The first reply of the counter is awaited, and counter calls with it.
+    /// The first reply of the counter is awaited; until then the policy makes no counter calls.
     Pending,
     /// The counter has not replied, and its reply is not awaited: the host's own clock is used.
     Unavailable,
--- a/policy/src/quota/gate.rs
+++ b/policy/src/quota/gate.rs
@@ -158,10 +158,7 @@
         let start = if converging { FallbackStart::Empty } else { FallbackStart::LastReading };
         Some(match tenant.spend_fallback(request.units, start, share, now) {
             Ok(()) => QuotaDecision::Admit(QuotaReading::Known),
-            Err(missing_units) => {
-                let refill_rate = share.plan.rate / share.gateways;
-                QuotaDecision::Reject(QuotaShortfall { missing_units, refill_rate })
-            }
+            Err(shortfall) => QuotaDecision::Reject(shortfall),
         })
     }
 
--- a/policy/src/quota/tenant.rs
+++ b/policy/src/quota/tenant.rs
@@ -1,11 +1,11 @@
 //! One tenant as this gateway knows it.
 
-use super::QuotaRequest;
 use super::demand::Demand;
 use super::fallback::{FallbackAllowance, FallbackStart};
 use super::lease::{Increment, IncrementReply, LeaseCache};
 use super::share::{QuotaShare, refill_period};
 use super::window::{Now, WindowNumber};
+use super::{QuotaRequest, QuotaShortfall};
 use crate::hash::hash;
 use crate::settings::PlanIndex;
 use crate::{Millis, QuotaPlan, RequestId};
@@ -134,17 +134,20 @@
     /// Spends units while the counter is unavailable, from an allowance that begins with the first request.
     ///
     /// # Errors
-    /// The units that are missing, if the allowance is too small.
+    /// What is missing, if the allowance is too small.
     pub(crate) fn spend_fallback(
         &mut self, units: f64, start: FallbackStart, share: QuotaShare<'_>, now: Millis,
-    ) -> Result<(), f64> {
+    ) -> Result<(), QuotaShortfall> {
         let new = || FallbackAllowance::new(start, self.lease.remaining(), share, now);
         let fallback = self.fallback.get_or_insert_with(new);
         if fallback.spend(units, share, now) {
             self.lease.use_unleased(units);
             Ok(())
         } else {
-            Err(units - fallback.units)
+            Err(QuotaShortfall {
+                missing_units: units - fallback.units,
+                refill_rate: share.plan.rate / share.gateways,
+            })
         }
     }
 
