--- a/policy/src/engine.rs
+++ b/policy/src/engine.rs
@@ -17,12 +17,11 @@
 use crate::request::{Request, RequestStage, RequestTable};
 use crate::response_latency::ResponseLatency;
 use crate::retry::{self, MAX_HOST_PAUSE};
-use crate::retry_after;
 use crate::subset::{Slot, Subset};
 use crate::wait_queue::WaitQueue;
 use crate::{
     Action, Arrival, AttemptEnd, EndpointEntry, Event, Millis, Name, Outcome, RequestId, Settings,
-    SettingsError,
+    SettingsError, retry_after,
 };
 
 /// A request waits for an endpoint at most this fraction of its latency objective.
@@ -300,8 +299,7 @@
             now: self.now,
         };
         let chosen = balancer.choose(id, request, self.random.state());
-        // One draw for each choice, so that the next one uses another state.
-        self.random.unit();
+        self.random.unit(); // The next choice uses another state.
         chosen
     }
 
