--- a/policy/src/engine.rs
+++ b/policy/src/engine.rs
@@ -1,9 +1,9 @@
 //! The policy engine: passes events to the mechanisms of the other modules and collects their actions.
 //!
-//! A request passes three gates: its tenant's quota ([`quota`](crate::quota)), load shedding
+//! A first attempt passes three gates: its tenant's quota ([`quota`](crate::quota)), load shedding
 //! ([`load_shedder`](crate::load_shedder)), and an endpoint with capacity
-//! ([`load_balancer`](crate::load_balancer)). A request that cannot pass yet waits for a fraction of its
-//! latency objective.
+//! ([`load_balancer`](crate::load_balancer)). A retry passes the last of them only. A request that waits for
+//! the counter or for an endpoint does so for a fraction of its latency objective at most.
 
 use crate::concurrency_limit::is_large_fleet;
 use crate::endpoint_table::{EndpointTable, ListKind};
@@ -17,12 +17,11 @@
 use crate::request::{Request, RequestStage, RequestTable};
 use crate::response_latency::ResponseLatency;
 use crate::retry::{self, MAX_HOST_PAUSE};
-use crate::retry_after;
 use crate::subset::{Slot, Subset};
 use crate::wait_queue::WaitQueue;
 use crate::{
     Action, Arrival, AttemptEnd, EndpointEntry, Event, Millis, Name, Outcome, RequestId, Settings,
-    SettingsError,
+    SettingsError, retry_after,
 };
 
 /// A request waits for an endpoint at most this fraction of its latency objective.
@@ -58,7 +57,7 @@
     /// When the settings cannot be used.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let (index, count) = (settings.gateway_index, settings.gateway_count);
+        let Settings { gateway_index: index, gateway_count: count, .. } = settings;
         let large_fleet = is_large_fleet(count);
         let subset =
             if large_fleet { Subset::new(index, count) } else { Subset::of_all_endpoints(index, count) };
@@ -147,7 +146,7 @@
         };
         self.quota.record_arrival(&request.for_quota(id), &tenant_arrival, self.now);
         self.requests.insert(id, request);
-        if self.admit(id, actions) {
+        if self.admit(id, actions) == Some(QuotaDecision::Wait) {
             self.quota.request_block(&arrival.tenant, self.now, actions);
         }
     }
@@ -179,17 +178,15 @@
 
     // ---- Quota ----
 
-    /// Passes a request through the quota gate. Returns whether it waits for the counter.
-    fn admit(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(request) = self.requests.get(&id).map(|request| request.for_quota(id)) else { return false };
-        let Some((decision, source)) = self.quota.admit(&request, self.now, &mut self.random, actions) else {
-            return false;
-        };
+    /// Passes a request through the quota gate. Returns its decision, or `None` if the request is over.
+    fn admit(&mut self, id: RequestId, actions: &mut Vec<Action>) -> Option<QuotaDecision> {
+        let request = self.requests.get(&id)?.for_quota(id);
+        let (decision, source) = self.quota.admit(&request, self.now, &mut self.random, actions)?;
         self.apply_quota_decision(id, decision, actions);
         if source == QuotaSource::Fallback {
             self.quota.poll_counter(&request.tenant, self.now, &mut self.random, actions);
         }
-        decision == QuotaDecision::Wait
+        Some(decision)
     }
 
     fn admit_from_fallback(&mut self, id: RequestId, actions: &mut Vec<Action>) {
@@ -215,8 +212,8 @@
                 let until = request.arrived_at + latency_objective * MAX_WAIT_FRACTION;
                 self.wait(id, RequestStage::Quota, until, actions);
             }
-            QuotaDecision::Reject { missing_units, refill_rate } => {
-                let retry_after = retry_after::over_quota(missing_units, refill_rate, &mut self.random);
+            QuotaDecision::Reject(shortfall) => {
+                let retry_after = retry_after::over_quota(shortfall, &mut self.random);
                 self.reject(id, retry_after, actions);
             }
         }
@@ -226,8 +223,11 @@
         match outcome {
             ReplyOutcome::Nothing => {}
             ReplyOutcome::LeaseUpdated { tenant, waiting, returns_units } => {
-                let still_waiting = waiting.iter().filter(|request| self.admit(request.id, actions)).count();
-                if still_waiting > 0 || returns_units {
+                let mut still_waiting = false;
+                for request in waiting {
+                    still_waiting |= self.admit(request.id, actions) == Some(QuotaDecision::Wait);
+                }
+                if still_waiting || returns_units {
                     self.quota.request_block(&tenant, self.now, actions);
                 }
             }
@@ -299,8 +299,7 @@
             now: self.now,
         };
         let chosen = balancer.choose(id, request, self.random.state());
-        // One draw for each choice, so that the next one uses another state.
-        self.random.unit();
+        self.random.unit(); // The next choice uses another state.
         chosen
     }
 
@@ -325,21 +324,23 @@
         // The class of a request that is over is not known.
         let Some(class) = self.requests.get(&end.id).map(|request| request.class) else { return };
         let latency_objective = self.settings.classes[class].latency_objective;
-        let late = self.response_latency.record(class, latency_objective, end.outcome, end.latency);
-        let Some(late) = late else { return };
-        self.load_shedder.record_response(late);
-        let change = endpoint.record_attempt_end(end, late, self.now, self.settings.slow_start_duration);
+        let timeliness = self.response_latency.record(class, latency_objective, end.outcome, end.latency);
+        let Some(timeliness) = timeliness else { return };
+        self.load_shedder.record_response(timeliness);
+        let slow_start_duration = self.settings.slow_start_duration;
+        let change = endpoint.record_attempt_end(end, timeliness, self.now, slow_start_duration);
         actions.extend(change.map(|change| Action::Log(change.log_line(name))));
     }
 
     /// Finishes the request of an attempt that ended, or retries it.
     fn continue_request(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
-        let (id, outcome) = (end.id, end.outcome);
+        let id = end.id;
+        let served = end.outcome == Outcome::Served;
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if let Some(actual_units) = end.actual_units.filter(|_| outcome == Outcome::Served) {
+        if let Some(actual_units) = end.actual_units.filter(|_| served) {
             self.quota.settle_usage(&request.tenant, request.units, actual_units);
         }
-        if end.request_finished || outcome == Outcome::Served {
+        if end.request_finished || served {
             return self.remove(id);
         }
         self.quota.attempt_ended(&request.tenant);
--- a/policy/src/settings.rs
+++ b/policy/src/settings.rs
@@ -122,7 +122,7 @@
     pub cancellation: bool,
     /// Whether the endpoint list has to be polled.
     pub polls_endpoints: bool,
-    /// A connection that takes longer to come up has failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Millis,
     /// The most attempts of one request.
     pub max_attempts: u32,
@@ -173,8 +173,10 @@
             return Err(SettingsError::NoClasses);
         }
         if self.gateway_index >= self.gateway_count {
-            let (index, count) = (self.gateway_index, self.gateway_count);
-            return Err(SettingsError::GatewayIndexOutOfRange { index, count });
+            return Err(SettingsError::GatewayIndexOutOfRange {
+                index: self.gateway_index,
+                count: self.gateway_count,
+            });
         }
         self.classes.iter().try_for_each(RequestClass::validate)?;
         self.plans.iter().try_for_each(QuotaPlan::validate)?;
--- /dev/null
+++ b/policy/tests/slow_start/fleet.rs
@@ -0,0 +1,259 @@
+//! A fleet of policy engines in virtual time, with a counter and endpoints in slow start.
+
+use crate::case::*;
+use crate::common::{CounterStandIn, Random, Schedule, arrival, endpoint};
+use ryefront_policy::*;
+use std::collections::BTreeMap;
+
+/// A request that was forwarded to an endpoint in slow start.
+#[derive(Clone, Copy)]
+pub(crate) struct ForwardedRequest {
+    at: Millis,
+    /// Whether the gateway had learned of the start.
+    informed: bool,
+}
+
+enum Step {
+    Handle(usize, Event),
+    /// A gateway learns of the start.
+    LearnStart(usize),
+}
+
+pub(crate) struct Fleet {
+    pub(crate) case: Case,
+    settings: Settings,
+    random: Random,
+    gateways: Vec<PolicyEngine>,
+    schedule: Schedule<Step>,
+    now: Millis,
+    counter: CounterStandIn,
+    /// The number of the last attempt of each request.
+    attempts: BTreeMap<RequestId, u32>,
+    /// Whether each gateway has learned of the start.
+    learned: Vec<bool>,
+    /// The number of requests that wait at each gateway.
+    waiting: Vec<usize>,
+    /// Whether the maintenance of each gateway is due. It runs in time while requests wait there, else with
+    /// the next event, which saves most of the work of hundreds of gateways.
+    maintenance_due: Vec<bool>,
+    /// The requests that were forwarded to each endpoint in slow start.
+    pub(crate) forwarded: BTreeMap<Name, Vec<ForwardedRequest>>,
+    /// The number of attempts forwarded to all endpoints.
+    pub(crate) all_forwarded: usize,
+}
+
+impl Fleet {
+    pub(crate) fn new(case: Case) -> Self {
+        let settings = case.settings();
+        let mut seeds = Random(u64::from(case.gateways));
+        let gateways = (0..case.gateways)
+            .map(|number| {
+                let settings = Settings { gateway_index: number, ..settings.clone() };
+                PolicyEngine::new(settings, seeds.below(u64::MAX)).expect("usable settings")
+            })
+            .collect::<Vec<_>>();
+        let starting = case.endpoint_names().starting.into_iter();
+        Self {
+            case,
+            settings,
+            random: Random(7),
+            learned: vec![false; gateways.len()],
+            waiting: vec![0; gateways.len()],
+            maintenance_due: vec![false; gateways.len()],
+            gateways,
+            schedule: Schedule::new(),
+            now: 0.0,
+            counter: CounterStandIn::default(),
+            attempts: BTreeMap::new(),
+            forwarded: starting.map(|name| (name, Vec::new())).collect(),
+            all_forwarded: 0,
+        }
+    }
+
+    /// Schedules the first endpoint list, and the start as each gateway learns of it.
+    fn schedule_endpoint_lists(&mut self) {
+        let names = self.case.endpoint_names();
+        let mut listed = names.warm;
+        if self.case.restarted {
+            listed.extend(names.starting);
+        }
+        for gateway in 0..self.gateways.len() {
+            let list = listed.iter().map(|name| endpoint(name, EndpointState::Ready, None)).collect();
+            self.schedule.at(0.0, Step::Handle(gateway, Event::EndpointSnapshot(list)));
+            let delay = self.random.unit() * self.case.max_delay;
+            self.schedule.at(START + delay, Step::LearnStart(gateway));
+        }
+    }
+
+    /// Schedules all requests, at random intervals and gateways.
+    fn schedule_requests(&mut self) {
+        let weights = self.case.traffic_weights();
+        let total_weight: f64 = weights.iter().sum();
+        let mean_interval = 1000.0 / (self.case.load * CAPACITY * self.case.endpoints as f64);
+        let mut arrives_at = 0.0;
+        let mut id = 0;
+        while arrives_at < END {
+            arrives_at -= self.random.unit().max(1e-12).ln() * mean_interval;
+            id += 1;
+            let gateway = index_by_weight(&weights, self.random.unit() * total_weight);
+            let arrival = Event::RequestArrived(arrival_at(gateway, id));
+            self.schedule.at(arrives_at, Step::Handle(gateway, arrival));
+        }
+    }
+
+    pub(crate) fn play(&mut self) {
+        self.schedule_endpoint_lists();
+        self.schedule_requests();
+        while let Some((now, step)) = self.schedule.next().filter(|(now, _)| *now <= END) {
+            self.now = now;
+            match step {
+                Step::Handle(gateway, Event::Timer { token: 1 }) if self.waiting[gateway] == 0 => {
+                    self.maintenance_due[gateway] = true;
+                }
+                Step::Handle(gateway, event) => {
+                    if std::mem::take(&mut self.maintenance_due[gateway]) {
+                        self.handle(gateway, Event::Timer { token: 1 });
+                    }
+                    self.handle(gateway, event);
+                }
+                Step::LearnStart(gateway) => self.learn_start(gateway),
+            }
+        }
+    }
+
+    fn learn_start(&mut self, gateway: usize) {
+        self.learned[gateway] = true;
+        let starting = self.forwarded.keys().map(|name| endpoint(name, EndpointState::Ready, Some(START)));
+        let changes = Event::EndpointDelta(starting.collect());
+        self.handle(gateway, changes);
+    }
+
+    fn handle(&mut self, gateway: usize, event: Event) {
+        self.waiting[gateway] += match &event {
+            Event::RequestArrived(_) => 1,
+            Event::AttemptEnded(end) => usize::from(!end.request_finished),
+            _ => 0,
+        };
+        let mut actions = Vec::new();
+        self.gateways[gateway].handle(self.now, event, &mut actions);
+        for action in actions {
+            self.perform(gateway, action);
+        }
+    }
+
+    fn perform(&mut self, gateway: usize, action: Action) {
+        match action {
+            Action::SetTimer { after, token } => {
+                self.schedule.at(self.now + after, Step::Handle(gateway, Event::Timer { token }));
+            }
+            Action::IncrementCounter { key, amount, .. } => {
+                let (latency, reply) = self.counter.call(key, amount, self.case.counter);
+                self.schedule.at(self.now + latency, Step::Handle(gateway, reply));
+            }
+            Action::ForwardAttempt { id, endpoint, .. } => {
+                self.waiting[gateway] -= 1;
+                self.forward(gateway, id, endpoint);
+            }
+            Action::Reject { .. } | Action::Fail { .. } => self.waiting[gateway] -= 1,
+            _ => {}
+        }
+    }
+
+    fn forward(&mut self, gateway: usize, id: RequestId, endpoint: Name) {
+        self.all_forwarded += 1;
+        if let Some(forwarded) = self.forwarded.get_mut(&endpoint).filter(|_| self.now >= START) {
+            forwarded.push(ForwardedRequest { at: self.now, informed: self.learned[gateway] });
+        }
+        let attempt = *self.attempts.entry(id).and_modify(|attempt| *attempt += 1).or_insert(0);
+        let outcome = self.draw_outcome(&endpoint);
+        let latency = match outcome {
+            Outcome::Rejected => REJECTION_LATENCY,
+            Outcome::TimedOut => TIMEOUT,
+            _ => LATENCY,
+        };
+        let end = AttemptEnd {
+            id,
+            attempt,
+            endpoint,
+            outcome,
+            latency,
+            actual_units: None,
+            request_finished: outcome == Outcome::Served,
+            load_report: None,
+        };
+        self.schedule.at(self.now + latency, Step::Handle(gateway, Event::AttemptEnded(end)));
+    }
+
+    fn draw_outcome(&mut self, endpoint: &Name) -> Outcome {
+        match self.case.failures {
+            Failures::None => Outcome::Served,
+            Failures::Fraction(fraction, failure) => {
+                if self.random.unit() < fraction {
+                    failure
+                } else {
+                    Outcome::Served
+                }
+            }
+            Failures::AllOtherEndpoints(failure) => {
+                let spared = self.now < START || self.forwarded.contains_key(endpoint);
+                if spared { Outcome::Served } else { failure }
+            }
+        }
+    }
+
+    /// Returns the worst window of all endpoints in slow start, as a ratio to its budget.
+    pub(crate) fn worst(&self) -> f64 {
+        let mut worst: f64 = 0.0;
+        for forwarded in self.forwarded.values() {
+            for (index, first) in forwarded.iter().enumerate() {
+                worst = worst.max(counted_requests(&forwarded[index..]) / self.budget(first.at));
+            }
+        }
+        worst
+    }
+
+    /// Returns the most requests that an endpoint in slow start may get in the window that begins at `from`.
+    fn budget(&self, from: Millis) -> f64 {
+        let settings = &self.settings;
+        let progress = ((from - START) / settings.slow_start_duration).min(1.0);
+        let initial = settings.slow_start_initial_fraction;
+        let capacity_fraction = initial + (1.0 - initial) * progress;
+        let mean =
+            settings.overload_factor * capacity_fraction * CAPACITY * settings.overload_window / 1000.0;
+        mean + 2.0 * mean.sqrt() + 2.0
+    }
+}
+
+/// Returns how many requests count in the window that begins with the first of these. A window of which a
+/// third or more came from gateways that did not know of the start counts with what the others forwarded.
+fn counted_requests(forwarded: &[ForwardedRequest]) -> f64 {
+    let from = forwarded[0].at;
+    let window = forwarded.iter().take_while(|request| request.at - from < OVERLOAD_WINDOW);
+    let mut all = 0.0;
+    let mut informed = 0.0;
+    for request in window {
+        all += 1.0;
+        informed += f64::from(u8::from(request.informed));
+    }
+    if informed * 1.5 >= all { all } else { informed }
+}
+
+/// Returns the index at which the sum of the weights exceeds `drawn`, or 0 if none does by rounding.
+fn index_by_weight(weights: &[f64], drawn: f64) -> usize {
+    let mut remaining = drawn;
+    let index = weights.iter().position(|weight| {
+        remaining -= weight;
+        remaining < 0.0
+    });
+    index.unwrap_or(0)
+}
+
+/// Returns a request of a tenant that one gateway serves.
+fn arrival_at(gateway: usize, id: RequestId) -> Arrival {
+    Arrival {
+        time_to_deadline: 3000.0,
+        first_gateway: gateway as u32,
+        gateways_per_tenant: 1,
+        ..arrival(id, &format!("c{gateway}"), "plain", "idempotent")
+    }
+}
