--- a/gateway/src/fleet_clock.rs
+++ b/gateway/src/fleet_clock.rs
@@ -28,7 +28,7 @@
 
     /// Whether replies to calls of this counter key are for [`Self::record_reply`].
     pub(crate) fn uses_key(key: u64) -> bool {
-        key == FleetClock::register()
+        key == FleetClock::register_key()
     }
 
     /// Whether there are other gateways to synchronize with.
@@ -53,7 +53,7 @@
     /// Records the reply to a call, and returns the fleet's time as [`Self::time`] does.
     pub(crate) fn record_reply(&self, result: CounterResult) -> FleetTime {
         let mut fleet = self.fleet.borrow_mut();
-        fleet.answered(self.local.now(), result);
+        fleet.record_reply(self.local.now(), result);
         fleet.time()
     }
 
--- a/policy/src/fleet_clock.rs
+++ b/policy/src/fleet_clock.rs
@@ -147,7 +147,7 @@
     }
 
     /// Returns the key of the register, the same at all gateways.
-    pub fn register() -> u64 {
+    pub fn register_key() -> u64 {
         hash("the fleet's clock") >> 1
     }
 
@@ -171,7 +171,7 @@
         self.due
     }
 
-    /// Returns the call to make now, if there is one. Its result is to be passed to [`Self::answered`].
+    /// Returns the call to make now, if there is one. Its result is to be passed to [`Self::record_reply`].
     pub fn poll(&mut self, now: Millis) -> Option<RegisterCall> {
         if self.call_in_flight.is_some() || now < self.due || !self.is_shared() {
             return None;
@@ -183,11 +183,11 @@
             Call::Write { mark } => mark,
             Call::Undo { mark } => -mark,
         };
-        Some(RegisterCall { key: Self::register(), amount, ttl: LIFE })
+        Some(RegisterCall { key: Self::register_key(), amount, ttl: LIFE })
     }
 
     /// Handles the end of the call in flight.
-    pub fn answered(&mut self, now: Millis, result: CounterResult) {
+    pub fn record_reply(&mut self, now: Millis, result: CounterResult) {
         let Some(call) = self.call_in_flight.take() else { return };
         let CounterResult::Total(total) = result else { return self.on_failure(now) };
         self.consecutive_failures = 0;
--- a/policy/tests/fleet_clock.rs
+++ b/policy/tests/fleet_clock.rs
@@ -77,7 +77,7 @@
                 }
                 Step::Reply(number, outcome) => {
                     let gateway = &mut self.gateways[number];
-                    gateway.clock.answered(BEGIN + now + gateway.skew, outcome);
+                    gateway.clock.record_reply(BEGIN + now + gateway.skew, outcome);
                     self.call(number, now);
                 }
             }
