--- a/gateway/tests/config.rs
+++ b/gateway/tests/config.rs
@@ -27,3 +27,115 @@
     assert_eq!(config.connect_timeout, Duration::from_millis(400));
     assert_eq!((config.settings.connect_timeout, config.settings.counter_timeout), (400.0, 30.0));
 }
+
+/// A usable configuration in JSON.
+const USABLE: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","counter":"127.0.0.1:8","seed":"1",
+"known":{"seq":1,"whole":true,"hosts":[{"host":"b","dial":"127.0.0.1:7","health":"in_service"}]},"settings":{
+"fleet-size":1,"classes":[{"name":"a","effect":"idempotent"}],"extra":{"has-counter":true}}}"#;
+
+/// The error of the usable configuration with one part replaced by another.
+fn error_after_replacement(part: &str, replacement: &str) -> String {
+    assert!(USABLE.contains(part), "{part}");
+    let text = USABLE.replacen(part, replacement, 1);
+    Config::parse(&text, |_, file| file).expect_err("an error").to_string()
+}
+
+#[test]
+fn error_about_an_address_names_its_key_the_value_and_the_valid_form() {
+    assert!(Config::parse(USABLE, |_, file| file).is_ok());
+
+    for (part, replacement, error) in [
+        (r#""listen":"127.0.0.1:0","#, "", "listen (or NODE_LISTEN) is missing"),
+        (r#""discovery":"127.0.0.1:9","#, "", "discovery (or NODE_DISCOVERY) is missing"),
+        (r#""counter":"127.0.0.1:8","#, "", "counter is missing"),
+        ("127.0.0.1:0", "127.0.0.1", r#"listen (or NODE_LISTEN) is "127.0.0.1""#),
+        ("127.0.0.1:9", "nowhere:9", r#"discovery (or NODE_DISCOVERY) is "nowhere:9""#),
+        ("127.0.0.1:8", "", r#"counter is """#),
+    ] {
+        let expected = format!("{error}, expected an address and port, as 127.0.0.1:8080");
+
+        assert_eq!(error_after_replacement(part, replacement), expected);
+    }
+}
+
+#[test]
+fn error_about_an_address_in_a_variable_names_the_variable() {
+    let in_variable = |name: &str, file| if name == "NODE_LISTEN" { Some("8080".to_owned()) } else { file };
+
+    let error = Config::parse(USABLE, in_variable).expect_err("an error").to_string();
+
+    let expected = r#"listen (or NODE_LISTEN) is "8080", expected an address and port, as 127.0.0.1:8080"#;
+    assert_eq!(error, expected);
+}
+
+#[test]
+fn error_about_the_seed_names_the_value_and_the_valid_digits() {
+    for (seed, expected) in [
+        ("", r#"seed is "", expected up to 16 hexadecimal digits"#),
+        ("0x1", r#"seed is "0x1", expected up to 16 hexadecimal digits"#),
+        ("10000000000000000", r#"seed is "10000000000000000", expected up to 16 hexadecimal digits"#),
+    ] {
+        assert_eq!(error_after_replacement(r#""seed":"1""#, &format!(r#""seed":"{seed}""#)), expected);
+    }
+}
+
+#[test]
+fn error_about_malformed_json_names_its_line_and_column_and_what_was_expected() {
+    for (part, replacement, expected) in [
+        (USABLE, "", "malformed: EOF while parsing a value at line 1 column 0"),
+        (r#"{"listen""#, r#"{listen"#, "malformed: key must be a string at line 1 column 2"),
+        (r#""seed":"1","#, "", "malformed: missing field `seed` at line 3 column 92"),
+        (
+            r#""seed":"1""#,
+            r#""seed":1"#,
+            "malformed: invalid type: integer `1`, expected a string at line 1 column 82",
+        ),
+    ] {
+        assert_eq!(error_after_replacement(part, replacement), expected);
+    }
+}
+
+#[test]
+fn error_about_the_cached_endpoint_list_names_its_key_and_the_invalid_part() {
+    for (part, replacement, expected) in [
+        (r#""seq":1,"#, "", "known: malformed endpoint list: missing field `seq`"),
+        (
+            r#""whole":true"#,
+            r#""whole":"yes""#,
+            r#"known: malformed endpoint list: invalid type: string "yes", expected a boolean"#,
+        ),
+        (r#""host":"b""#, r#""host":"""#, "known: entry 0 of the endpoint list: the name is empty"),
+        (
+            "127.0.0.1:7",
+            "nowhere",
+            r#"known: endpoint b: address "nowhere", expected an IP address and a port"#,
+        ),
+    ] {
+        assert_eq!(error_after_replacement(part, replacement), expected);
+    }
+}
+
+#[test]
+fn error_about_the_settings_names_the_key_and_what_was_expected() {
+    for (part, replacement, expected) in [
+        (r#""fleet-size":1"#, r#""fleet-size":"1""#, "settings: fleet-size is not a small whole number"),
+        (r#""extra":{"#, r#""permissions":3,"extra":{"#, "settings: permissions is not an object"),
+        (
+            r#""extra":{"#,
+            r#""permissions":{"keepalive-ms":"1"},"extra":{"#,
+            "settings: keepalive-ms is not a number",
+        ),
+        (
+            r#""extra":{"#,
+            r#""rules":{"drain-grace-ms":true},"extra":{"#,
+            "settings: drain-grace-ms is not a number",
+        ),
+        (
+            r#""effect":"idempotent""#,
+            r#""effect":"x""#,
+            r#"settings: effect is "x", expected idempotent, deduplicated or at_most_once"#,
+        ),
+    ] {
+        assert_eq!(error_after_replacement(part, replacement), expected);
+    }
+}
