--- a/gateway/tests/endpoint_list.rs
+++ b/gateway/tests/endpoint_list.rs
@@ -54,6 +54,33 @@
     assert!(EndpointList::parse(&invalid_utf8).is_err());
 }
 
+#[test]
+fn error_about_an_endpoint_list_names_the_invalid_part_and_what_was_expected() {
+    let at = "127.0.0.1:9".parse().expect("an address");
+    let good = snapshot(7, &[in_service("a", at), in_service("b", at)]);
+    for (part, replacement, expected) in [
+        (good.as_str(), "{", "malformed endpoint list: EOF while parsing an object at line 1 column 1"),
+        (
+            r#""seq":7"#,
+            r#""seq":"7""#,
+            r#"malformed endpoint list: invalid type: string "7", expected u64 at line 1 column 10"#,
+        ),
+        (r#""host":"b""#, r#""host":"""#, "entry 1 of the endpoint list: the name is empty"),
+        (
+            r#""host":"b","dial":"127.0.0.1:9""#,
+            r#""host":"b","dial":"b.internal:9""#,
+            r#"endpoint b: address "b.internal:9", expected an IP address and a port"#,
+        ),
+    ] {
+        let text = good.replace(part, replacement);
+        assert_ne!(text, good);
+
+        let error = EndpointList::parse(text.as_bytes()).expect_err("an error");
+
+        assert_eq!(error.to_string(), expected);
+    }
+}
+
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_or_removed_endpoint_gets_no_new_requests() {
     let updates: [fn(SocketAddr) -> String; 3] = [
