--- a/gateway/src/client/request.rs
+++ b/gateway/src/client/request.rs
@@ -33,7 +33,7 @@
     #[error("no such path, expected a request class as its first segment")]
     NoPath,
     /// The settings name no such class.
-    #[error("unknown request class")]
+    #[error("unknown request class as the first segment of the path, expected one of the settings")]
     UnknownClass,
     /// The method does not fit class or path.
     #[error("wrong method, expected {expected}")]
@@ -50,22 +50,22 @@
         expected: &'static str,
     },
     /// A header is given several times: endpoints or proxies may use another of its values.
-    #[error("{0} is given more than once")]
+    #[error("{0} is given more than once, expected one value")]
     RepeatedHeader(&'static str),
     /// Another request with this id has no final answer yet.
-    #[error("a request with this {REQUEST_ID} is in progress")]
+    #[error("a request with this {REQUEST_ID} is in progress, expected another id")]
     IdInProgress,
     /// The end of the body is not certain.
     #[error("invalid transfer-encoding, expected chunked alone and no content-length")]
     AmbiguousLength,
     /// A body where the method has none.
-    #[error("unexpected body")]
+    #[error("unexpected body, expected none with GET")]
     UnexpectedBody,
     /// The body is too large.
     #[error("the body is too large, expected at most {MAX_BODY_BYTES} bytes")]
     BodyTooLarge,
     /// The body ended early or has invalid chunks.
-    #[error("the body cannot be read")]
+    #[error("the body cannot be read, expected valid chunks or as many bytes as in content-length")]
     UnreadableBody,
 }
 
--- a/gateway/tests/client_requests.rs
+++ b/gateway/tests/client_requests.rs
@@ -127,6 +127,83 @@
     assert_eq!(endpoint.request_count(), 1);
 }
 
+/// An invalid request and what the response to it has to be.
+struct InvalidRequest {
+    text: String,
+    status: u16,
+    body: &'static str,
+}
+
+fn invalid(text: String, status: u16, body: &'static str) -> InvalidRequest {
+    InvalidRequest { text, status, body }
+}
+
+/// Requests with an invalid header, and the status and body of the response.
+fn requests_with_an_invalid_header() -> Vec<InvalidRequest> {
+    let replaced = |old, new, body| invalid(idempotent_request(DEADLINE_MS).replace(old, new), 400, body);
+    let builder = |class| RequestBuilder::new(class, DEADLINE_MS);
+    let with_line = |class, line, body| invalid(builder(class).header_lines(line).build(), 400, body);
+    let without_key = builder(Class::WithKey).build().replace("Idempotency-Key", "X-Key");
+    let id = "invalid req-id, expected 1 to 64 letters, digits, '-', '_' or '.'";
+    let tenant = "invalid api-customer, expected 16 hexadecimal digits of a number below 2^33";
+    let terms = "invalid api-terms, expected units within the limit of a request, and gateways of the fleet";
+    let no_key = "invalid idempotency-key, expected none for this class";
+    let two_keys = "idempotency-key is given more than once, expected one value";
+    vec![
+        replaced("Req-Id: ", "Req-Id: /", id),
+        replaced("Plan: p", "Plan: q", "invalid api-plan, expected a plan of the settings"),
+        replaced("00000000b4d65521", "b4d65521", tenant),
+        replaced("Ms: 900", "Ms: 0", "invalid req-deadline-ms, expected 1 to 600000, whole milliseconds"),
+        replaced("first=0", "first=x", "invalid api-terms, expected the form units=2,spread=3,first=1"),
+        replaced("first=0", "first=1", terms),
+        with_line(Class::Idempotent, "Req-Retry: 2\r\n", "invalid req-retry, expected 0 or 1"),
+        with_line(Class::NonIdempotent, "Idempotency-Key: k\r\n", no_key),
+        with_line(Class::WithKey, "Idempotency-Key: again\r\n", two_keys),
+        invalid(without_key, 400, "invalid idempotency-key, expected a key for this class"),
+    ]
+}
+
+/// Requests whose path, method or body is invalid, and the status and body of the response.
+fn requests_with_an_invalid_path_method_or_body() -> Vec<InvalidRequest> {
+    let get = || idempotent_request(DEADLINE_MS);
+    let post = request_without_body;
+    let get_with_body = get().replace("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx");
+    let too_large = post().replace("Content-Length: 0", "Content-Length: 65537");
+    let chunked = || post().replace("Content-Length: 0", "Transfer-Encoding: chunked");
+    let no_path = "no such path, expected a request class as its first segment";
+    let class = "unknown request class as the first segment of the path, expected one of the settings";
+    let unreadable = "the body cannot be read, expected valid chunks or as many bytes as in content-length";
+    let ambiguous = "invalid transfer-encoding, expected chunked alone and no content-length";
+    vec![
+        invalid(get().replace("/read/a%20b?c=d", "/"), 404, no_path),
+        invalid(get().replace("/read/", "/unknown/"), 400, class),
+        invalid(get().replace("GET", "POST"), 400, "wrong method, expected GET"),
+        invalid(post().replace("POST", "GET"), 400, "wrong method, expected POST"),
+        invalid(READINESS_REQUEST.replace("GET", "POST"), 400, "wrong method, expected GET or HEAD"),
+        invalid(get_with_body, 400, "unexpected body, expected none with GET"),
+        invalid(too_large, 413, "the body is too large, expected at most 65536 bytes"),
+        invalid(chunked() + "no chunk\r\n", 400, unreadable),
+        invalid(chunked().replace("chunked", "gzip, chunked"), 400, ambiguous),
+    ]
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn response_to_an_invalid_request_names_the_invalid_part_and_what_was_expected() {
+    let endpoint = TestEndpoint::ok("x").await;
+    let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
+    let mut requests = requests_with_an_invalid_header();
+    requests.extend(requests_with_an_invalid_path_method_or_body());
+
+    for InvalidRequest { text, status, body } in requests {
+        let response = env.gateway.request(&text).await;
+
+        let response_body = String::from_utf8_lossy(&response.body);
+        assert_eq!((response.status(), &*response_body), (status, &*format!("{body}\n")), "{text}");
+    }
+
+    assert_eq!(endpoint.request_count(), 0);
+}
+
 #[tokio::test(flavor = "multi_thread")]
 async fn request_body_of_64_kib_is_forwarded_and_a_larger_one_rejected() {
     let endpoint = TestEndpoint::ok("x").await;
@@ -210,7 +287,9 @@
     client.write(&text).await;
     wait_until("the attempt", || endpoint.request_count() == 1).await;
 
-    assert_eq!(env.gateway.request(&text).await.status(), 400);
+    let rejected = env.gateway.request(&text).await;
+    assert_eq!(rejected.status(), 400);
+    assert_eq!(rejected.body, b"a request with this req-id is in progress, expected another id\n");
     assert_eq!(client.read_response().await.status(), 200);
     assert_eq!(endpoint.request_count(), 1);
 
