--- a/gateway/src/counter/resp.rs
+++ b/gateway/src/counter/resp.rs
@@ -66,7 +66,11 @@
             OwnedFrame::SimpleString(_) if command == Command::Ping => Some(Self::Pong),
             _ => None,
         };
-        reply.ok_or_else(|| ReplyError::Unexpected { command, received: frame.kind() })
+        reply.ok_or_else(|| ReplyError::Unexpected {
+            command,
+            received: frame.kind(),
+            text: frame.as_str().unwrap_or_default().to_owned(),
+        })
     }
 }
 
@@ -78,7 +82,7 @@
 /// Bytes that cannot be matched to a call. The replies behind them are unusable too.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReplyError {
-    #[error("malformed reply: {0}")]
+    #[error("malformed reply, expected RESP2: {0}")]
     Malformed(RedisProtocolError),
     #[error("a reply of {received} bytes or more, expected {MAX_BUFFERED_BYTES} at most")]
     TooLong { received: usize },
@@ -86,8 +90,8 @@
     Incomplete { limit_ms: u128 },
     #[error("a reply without a call in flight")]
     Unsolicited,
-    #[error("unusable {received:?} in reply to {command:?}, expected a finite total, BUSY or ERR")]
-    Unexpected { command: Command, received: FrameKind },
+    #[error("unusable {received:?} {text:?} in reply to {command:?}, expected a finite total, BUSY or ERR")]
+    Unexpected { command: Command, received: FrameKind, text: String },
 }
 
 /// The bytes received that do not make a complete reply yet.
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -183,6 +183,11 @@
         self.log.lock().expect("lock").iter().filter(|line| line.starts_with(prefix)).count()
     }
 
+    /// The lines of the log that start with this prefix.
+    pub(crate) fn log_lines(&self, prefix: &str) -> Vec<String> {
+        self.log.lock().expect("lock").iter().filter(|line| line.starts_with(prefix)).cloned().collect()
+    }
+
     /// Closes the reading end of the log, so that the gateway's writes to it fail from now on.
     pub(crate) async fn close_log(&mut self) {
         self.log_reader.abort();
--- a/gateway/tests/counter.rs
+++ b/gateway/tests/counter.rs
@@ -4,9 +4,9 @@
 
 use common::{
     CounterBehavior, GatewayOptions, GatewayProcess, TestCounter, TestDiscovery, TestEndpoint,
-    TestEnvironment, idempotent_request, sleep_ms, within_timeout,
+    TestEnvironment, idempotent_request, sleep_ms, wait_until, within_timeout,
 };
-use ryefront_gateway::counter::{CompletedCall, CounterClient};
+use ryefront_gateway::counter::{CONNECTION_COUNT, CompletedCall, CounterClient};
 use ryefront_policy::CounterResult;
 use std::rc::Rc;
 use std::time::Duration;
@@ -149,3 +149,48 @@
         assert_eq!(results, [TOTAL(1.0), UNKNOWN, TOTAL(3.0), UNKNOWN, TOTAL(5.0)], "{reply}");
     }
 }
+
+/// A reply that the counter's protocol does not allow, and how the log line about it begins and ends. Between
+/// them is the call, whose key depends on the time.
+struct InvalidReply {
+    text: &'static str,
+    found: &'static str,
+    expected: &'static str,
+}
+
+fn invalid_replies() -> Vec<InvalidReply> {
+    let reply = |text, found, expected| InvalidReply { text, found, expected };
+    let unusable = |text, found| reply(text, found, ", expected a finite total, BUSY or ERR (logged once)");
+    let too_long = format!("$9000\r\n{}", "1".repeat(5000)).leak();
+    vec![
+        reply("#~\r\n", "counter: malformed reply, expected RESP2: ", " (logged once)"),
+        unusable("-LOADING\r\n", r#"counter: unusable Error "LOADING" in reply to Increment { key: "#),
+        unusable("$3\r\nNaN\r\n", r#"counter: unusable BulkString "NaN" in reply to Increment { key: "#),
+        unusable("+PONG\r\n", r#"counter: unusable SimpleString "PONG" in reply to Increment { key: "#),
+        reply("$1\r\n1\r\n+OK\r\n", "counter: a reply without a call in flight", " (logged once)"),
+        reply("$900\r\n12", "counter: a reply was not complete within 50 ms", " (logged once)"),
+        reply(too_long, "counter: a reply of ", " bytes or more, expected 4096 at most (logged once)"),
+    ]
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn invalid_counter_reply_is_logged_once_a_connection_with_what_was_found_and_expected() {
+    for InvalidReply { text, found, expected } in invalid_replies() {
+        let endpoint = TestEndpoint::ok("x").await;
+        let options = GatewayOptions { refill_rate: 50.0, burst: 50.0, ..small_quota(&endpoint) };
+        let env = TestEnvironment::start(&options, CounterBehavior::AddAndReplyWith(text)).await;
+
+        within_timeout("several calls on a connection", async {
+            while env.counter.call_count() as usize <= 2 * CONNECTION_COUNT {
+                send_requests(&env.gateway, 1).await;
+                sleep_ms(50).await;
+            }
+        })
+        .await;
+
+        wait_until("a log line", || !env.gateway.log_lines(found).is_empty()).await;
+        let lines = env.gateway.log_lines("counter: ");
+        assert!(lines.len() <= CONNECTION_COUNT, "{lines:?}");
+        assert!(lines.iter().all(|l| l.starts_with(found) && l.ends_with(expected)), "{lines:?}");
+    }
+}
