--- a/policy/src/quota/counter_calls.rs
+++ b/policy/src/quota/counter_calls.rs
@@ -27,13 +27,6 @@
 /// The counter counts as unavailable only if the last reply is more than this many call timeouts ago.
 const UNAVAILABLE_AFTER_TIMEOUTS: f64 = 3.0;
 
-/// A change of the counter's availability, to be logged.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum AvailabilityChange {
-    Unavailable,
-    Recovered,
-}
-
 /// The calls of one gateway to the counter.
 #[derive(Debug)]
 pub(crate) struct CounterCalls {
@@ -113,23 +106,25 @@
         Some(tenant)
     }
 
-    /// Notes a call that returned a total.
-    pub(crate) fn record_reply(&mut self, now: Millis) -> Option<AvailabilityChange> {
+    /// Notes a call that returned a total. Returns whether it ends an unavailability that was logged.
+    pub(crate) fn record_reply(&mut self, now: Millis) -> bool {
         let recovered = std::mem::take(&mut self.unavailability_logged);
         if recovered {
             self.recovered_at = now;
         }
         self.consecutive_failures = 0;
         self.last_reply_at = now;
-        recovered.then_some(AvailabilityChange::Recovered)
+        recovered
     }
 
-    /// Notes a call that returned no total. `unusable` means that the counter cannot be used in any case, for
-    /// a reason other than failed calls.
-    pub(crate) fn record_failure(&mut self, now: Millis, unusable: bool) -> Option<AvailabilityChange> {
+    /// Notes a call that returned no total.
+    pub(crate) fn record_failure(&mut self) {
         self.consecutive_failures += 1;
-        let unavailable = unusable || self.is_unavailable(now);
-        let to_be_logged = unavailable && !std::mem::replace(&mut self.unavailability_logged, true);
-        to_be_logged.then_some(AvailabilityChange::Unavailable)
+    }
+
+    /// Notes that the counter is unavailable. Returns whether that is to be logged, as it has not been since
+    /// the last reply.
+    pub(crate) fn record_unavailability(&mut self) -> bool {
+        !std::mem::replace(&mut self.unavailability_logged, true)
     }
 }
--- a/policy/src/quota/gate.rs
+++ b/policy/src/quota/gate.rs
@@ -1,7 +1,7 @@
 //! The admission gate over all tenants: decides for requests, and handles the replies of the counter.
 
 use super::counter_call::{CounterCall, needs_previous_total};
-use super::counter_calls::{AvailabilityChange, CounterCalls};
+use super::counter_calls::CounterCalls;
 use super::fallback::FallbackStart;
 use super::lease::{BLOCK_FRACTION, Increment, IncrementReply};
 use super::low_quota::{LowQuotaReply, LowQuotaTenants};
@@ -253,7 +253,7 @@
         let CounterResult::Total(total) = result else {
             return self.on_call_failed(&name, result, now, actions);
         };
-        if self.calls.record_reply(now) == Some(AvailabilityChange::Recovered) {
+        if self.calls.record_reply(now) {
             actions.push(Action::Log("counter available again".into()));
         }
         self.on_total(&name, total, now, actions)
@@ -305,8 +305,8 @@
     fn on_call_failed(
         &mut self, name: &Name, result: CounterResult, now: Millis, actions: &mut Vec<Action>,
     ) -> ReplyOutcome {
-        let unusable = !self.is_counter_usable();
-        if self.calls.record_failure(now, unusable) == Some(AvailabilityChange::Unavailable) {
+        self.calls.record_failure();
+        if self.is_counter_unavailable(now) && self.calls.record_unavailability() {
             actions.push(Action::Log("counter unavailable: spending leases and fallback allowances".into()));
         }
         let Some(tenant) = self.tenants.get_mut(name) else { return ReplyOutcome::Nothing };
--- a/policy/src/quota/lease.rs
+++ b/policy/src/quota/lease.rs
@@ -15,9 +15,11 @@
 /// A block holds the demand of this fraction of a refill period. A block that is unused for as long is
 /// returned, so that other gateways can use it.
 pub(super) const BLOCK_FRACTION: f64 = 0.15;
-/// A block is at most this fraction of the remaining quota, divided by the tenant's gateways. While more than
-/// this fraction of the burst remains, a block is at least an even part of what is above it.
-pub(super) const SCARCE_FRACTION: f64 = 0.5;
+/// A block is at most this fraction of the remaining quota, divided by the tenant's gateways.
+const MAX_BLOCK_FRACTION: f64 = 0.5;
+/// The quota is scarce while less than this fraction of the burst remains. While more remains, a block is at
+/// least an even part of what is above it.
+const SCARCE_FRACTION: f64 = 0.5;
 /// A block is renewed when less than this fraction of it is left.
 const RENEWAL_FRACTION: f64 = 0.4;
 /// Totals that differ by less are equal: the counter is exact to a limited number of digits.
@@ -188,7 +190,7 @@
     /// Returns the smoothed demand of a block's time, as far as the remaining quota allows.
     pub(super) fn demand_block(&self, demand: &Demand, share: QuotaShare<'_>) -> f64 {
         let wanted = demand.rate * share.refill_period() * BLOCK_FRACTION;
-        wanted.min(self.remaining * SCARCE_FRACTION / share.gateways).floor()
+        wanted.min(self.remaining * MAX_BLOCK_FRACTION / share.gateways).floor()
     }
 
     /// Returns whether the lease block should be renewed.
