--- a/policy/tests/subset.rs
+++ b/policy/tests/subset.rs
@@ -195,8 +195,7 @@
         let mut settings = Settings { gateway_count: 300, ..settings() };
         settings.classes[1].dedup_scope = dedup_scope;
         let mut gateway = TestGateway::seeded(settings, 5, &[]);
-        // Each endpoint's neighbours are its cell; only two of a zone of their own are left after the first
-        // attempt.
+        // Four consecutive endpoints are one cell and one zone.
         let list = |range: std::ops::Range<usize>| {
             let entry = |n: usize| EndpointEntry {
                 cell: n as u64 / 4,
