--- a/fleet/src/gateway_process.rs
+++ b/fleet/src/gateway_process.rs
@@ -45,16 +45,9 @@
 
 fn quota_plan(plan: &Plan) -> QuotaPlan {
     QuotaPlan {
-        name: plan.name.as_str().into(),
-        rate: plan.rate,
-        burst: plan.rate * plan.burst_s,
-        max_in_flight: 0,
-        ceiling_rate: 0.0,
-        ceiling_burst: 0.0,
-        ceiling_slack: 0.0,
-        weight_factor: 1.0,
         over_quota_weight: plan.over_quota_weight,
         over_quota_cost: plan.over_quota_cost,
+        ..QuotaPlan::new(plan.name.as_str(), plan.rate, plan.rate * plan.burst_s)
     }
 }
 
--- a/fleet/src/slopes/measured_gateway.rs
+++ b/fleet/src/slopes/measured_gateway.rs
@@ -8,7 +8,8 @@
 use crate::list_format::{ListEntry, ListKind, list_text};
 use ryefront_policy::{
     Action, Arrival, AttemptEnd, CounterResult, DedupScope, EndpointState, Event, Idempotency,
-    LoadReportSource, Millis, Name, Outcome, PolicyEngine, QuotaPlan, RequestClass, Settings, SettingsError,
+    LoadReportSource, MAINTENANCE_TOKEN, Millis, Name, Outcome, PolicyEngine, QuotaPlan, RequestClass,
+    Settings, SettingsError,
 };
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -19,8 +20,6 @@
 pub(super) const MIN_GATEWAYS: u32 = 300;
 /// The time between two requests at one gateway, of 490,000 requests per second over 3,100 gateways.
 const REQUEST_INTERVAL: Millis = 1000.0 / 158.0;
-/// The token of the policy engine's maintenance timer; as `MAINTENANCE_TOKEN` in policy/src/engine.rs.
-const MAINTENANCE_TOKEN: u64 = 1;
 /// The version of a snapshot.
 pub(super) const FIRST_VERSION: u64 = 1;
 /// Endpoints that one delta changes.
@@ -71,24 +70,12 @@
 
 /// The settings of a gateway in a fleet of this size.
 pub(super) fn settings(size: FleetSize) -> Settings {
-    let plan = QuotaPlan {
-        name: PLAN_NAME.into(),
-        rate: PLAN_RATE,
-        burst: PLAN_BURST,
-        max_in_flight: 0,
-        ceiling_rate: 0.0,
-        ceiling_burst: 0.0,
-        ceiling_slack: 0.0,
-        weight_factor: 1.0,
-        over_quota_weight: 0.0,
-        over_quota_cost: 1.0,
-    };
     Settings {
         gateway_count: size.gateways,
         zone: "zone-0".into(),
         tick: TICK,
         classes: (0..size.routes).map(request_class).collect(),
-        plans: vec![plan],
+        plans: vec![QuotaPlan::new(PLAN_NAME, PLAN_RATE, PLAN_BURST)],
         has_counter: true,
         counter_timeout: COUNTER_TIMEOUT,
         load_report_source: LoadReportSource::Responses,
--- a/gateway/src/client/request.rs
+++ b/gateway/src/client/request.rs
@@ -228,12 +228,11 @@
     idempotency: Idempotency, method: &Method, headers: &'a HeaderMap,
 ) -> Result<Option<&'a HeaderValue>, RequestError> {
     let key = single(headers, IDEMPOTENCY_KEY)?;
-    let expected_method = match idempotency {
-        Idempotency::Idempotent => Method::GET,
-        Idempotency::WithKey | Idempotency::NonIdempotent => Method::POST,
+    let expected = match idempotency {
+        Idempotency::Idempotent => "GET",
+        Idempotency::WithKey | Idempotency::NonIdempotent => "POST",
     };
-    if *method != expected_method {
-        let expected = if expected_method == Method::GET { "GET" } else { "POST" };
+    if method.as_str() != expected {
         return Err(RequestError::WrongMethod { expected });
     }
     let invalid = |expected| RequestError::InvalidHeader { header: IDEMPOTENCY_KEY, expected };
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -180,7 +180,7 @@
 
     /// How many lines of the log start with this prefix.
     pub(crate) fn count_log_lines(&self, prefix: &str) -> usize {
-        self.log.lock().expect("lock").iter().filter(|line| line.starts_with(prefix)).count()
+        self.log_lines(prefix).len()
     }
 
     /// The lines of the log that start with this prefix.
--- a/policy/examples/loop.rs
+++ b/policy/examples/loop.rs
@@ -154,24 +154,12 @@
         priority_weight: 1.0,
         late_weight_fraction: 0.0,
     };
-    let plan = QuotaPlan {
-        name: "basic".into(),
-        rate: 5.0,
-        burst: 4.0,
-        max_in_flight: 0,
-        ceiling_rate: 0.0,
-        ceiling_burst: 0.0,
-        ceiling_slack: 0.0,
-        weight_factor: 1.0,
-        over_quota_weight: 0.0,
-        over_quota_cost: 1.0,
-    };
     Settings {
         gateway_count: 1,
         zone: "a".into(),
         tick: 1.0,
         classes: vec![class],
-        plans: vec![plan],
+        plans: vec![QuotaPlan::new("basic", 5.0, 4.0)],
         has_counter: true,
         counter_timeout: 50.0,
         max_attempts: 3,
--- a/policy/src/engine.rs
+++ b/policy/src/engine.rs
@@ -28,8 +28,9 @@
 const MAX_QUEUE_WAIT_FRACTION: f64 = 0.3;
 /// The time between two maintenance ticks: short compared with any latency objective.
 const MAINTENANCE_INTERVAL: Millis = 25.0;
-/// The token of the maintenance timer. A request's timer has twice its number as token.
-const MAINTENANCE_TOKEN: u64 = 1;
+/// The token of the timer that the engine sets for its maintenance. A request's timer has twice its number as
+/// token.
+pub const MAINTENANCE_TOKEN: u64 = 1;
 /// Timers may expire early by rounding.
 const TIMER_TOLERANCE: Millis = 1e-6;
 
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -24,18 +24,7 @@
 //!         priority_weight: 1.0,
 //!         late_weight_fraction: 0.0,
 //!     }],
-//!     plans: vec![QuotaPlan {
-//!         name: "basic".into(),
-//!         rate: 5.0,
-//!         burst: 10.0,
-//!         max_in_flight: 0,
-//!         ceiling_rate: 0.0,
-//!         ceiling_burst: 0.0,
-//!         ceiling_slack: 0.0,
-//!         weight_factor: 1.0,
-//!         over_quota_weight: 0.0,
-//!         over_quota_cost: 1.0,
-//!     }],
+//!     plans: vec![QuotaPlan::new("basic", 5.0, 10.0)],
 //!     max_attempts: 3,
 //!     max_retry_after: 1000.0,
 //!     ..Default::default()
@@ -117,7 +106,7 @@
 mod wait_queue;
 
 pub use action::Action;
-pub use engine::PolicyEngine;
+pub use engine::{MAINTENANCE_TOKEN, PolicyEngine};
 pub use event::{
     Arrival, AttemptEnd, CounterResult, EndpointEntry, EndpointState, Event, FleetTime, LoadReport, Outcome,
 };
--- a/policy/src/settings.rs
+++ b/policy/src/settings.rs
@@ -203,6 +203,23 @@
 }
 
 impl QuotaPlan {
+    /// Returns a plan of `rate` units per second and no other limit. Requests beyond the quota earn nothing
+    /// and cost their weight.
+    pub fn new(name: impl Into<Name>, rate: f64, burst: f64) -> Self {
+        Self {
+            name: name.into(),
+            rate,
+            burst,
+            max_in_flight: 0,
+            ceiling_rate: 0.0,
+            ceiling_burst: 0.0,
+            ceiling_slack: 0.0,
+            weight_factor: 1.0,
+            over_quota_weight: 0.0,
+            over_quota_cost: 1.0,
+        }
+    }
+
     fn validate(&self) -> Result<(), SettingsError> {
         non_negative("a plan's rate", self.rate)?;
         non_negative("a plan's burst", self.burst)?;
