--- a/policy/src/engine.rs
+++ b/policy/src/engine.rs
@@ -302,7 +302,7 @@
             now: self.now,
         };
         let chosen = balancer.choose(id, request, self.random.state());
-        self.random.unit(); // The next choice uses another state.
+        self.random.uniform(); // The next choice uses another state.
         chosen
     }
 
--- a/policy/src/fleet_clock.rs
+++ b/policy/src/fleet_clock.rs
@@ -409,7 +409,7 @@
 
     /// Draws a number in (0, 1).
     fn draw(&mut self) -> f64 {
-        self.random.unit().max(f64::MIN_POSITIVE)
+        self.random.uniform().max(f64::MIN_POSITIVE)
     }
 }
 
--- a/policy/src/hash.rs
+++ b/policy/src/hash.rs
@@ -1,4 +1,4 @@
-//! Fixed hashes: counter keys, the order of endpoints on a ring and random draws are derived from them.
+//! Hash functions with fixed results, from which counter keys, ring positions and random draws are derived.
 
 /// Hashes a text (FNV-1a with a final mix).
 pub(crate) fn hash(text: &str) -> u64 {
@@ -7,8 +7,8 @@
     mix(text.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME)))
 }
 
-/// Maps a number to [0, 1) by its hash.
-pub(crate) fn unit(x: u64) -> f64 {
+/// Maps a number to [0, 1), uniformly by its hash.
+pub(crate) fn uniform(x: u64) -> f64 {
     (mix(x) >> 11) as f64 / (1u64 << 53) as f64
 }
 
--- a/policy/src/load_balancer.rs
+++ b/policy/src/load_balancer.rs
@@ -10,7 +10,7 @@
 use crate::concurrency_limit::is_large_fleet;
 use crate::endpoint::Endpoint;
 use crate::endpoint_table::EndpointTable;
-use crate::hash::{mix, unit};
+use crate::hash::{mix, uniform};
 use crate::request::Request;
 use crate::slow_start::traffic_share;
 use crate::subset::Slot;
@@ -92,7 +92,7 @@
         } else {
             SMALL_FLEET_SAMPLE_SIZE
         });
-        let start = (unit(sample_start) * members.len() as f64) as usize;
+        let start = (uniform(sample_start) * members.len() as f64) as usize;
         let sample = members.iter().cycle().skip(start).take(sample_size);
         let sample = sample.map(|slot| Candidate { slot: *slot, group_size: sample_size as f64 });
         // Endpoints in slow start get their share from the gateways whose subset they are in, and no more.
@@ -126,14 +126,14 @@
         if capacity >= 1.0 {
             return Some(self.warm_score(endpoint, class, draws.choice));
         }
-        let draw = draws.slow_start.map_or(f64::INFINITY, |sample| unit(sample ^ endpoint.salt));
+        let draw = draws.slow_start.map_or(f64::INFINITY, |sample| uniform(sample ^ endpoint.salt));
         // Any endpoint in slow start that the request may go to comes before all others.
         (draw * candidate.group_size < traffic_share(capacity)).then_some(draw - 1.0)
     }
 
     /// Returns the score of an endpoint with all its capacity.
     fn warm_score(&self, endpoint: &Endpoint, class: &RequestClass, choice_draw: u64) -> f64 {
-        let draw = unit(choice_draw ^ endpoint.salt);
+        let draw = uniform(choice_draw ^ endpoint.salt);
         let weighted_draw = if is_large_fleet(self.settings.gateway_count) {
             // An exponential variate for each candidate, of which the least wins: a random choice by weight,
             // so that gateways do not all prefer the same endpoint.
--- a/policy/src/load_shedder.rs
+++ b/policy/src/load_shedder.rs
@@ -59,7 +59,7 @@
             QuotaReading::Missing => UNMETERED_WEIGHT_DIVISOR,
         };
         let exponent = self.mean_weight / class.priority_weight.max(MIN_PRIORITY_WEIGHT) * divisor;
-        if random.unit() < self.probability.powf(exponent) {
+        if random.uniform() < self.probability.powf(exponent) {
             return Admission::Admitted;
         }
         self.probability = (self.probability * (1.0 + PROBABILITY_RECOVERY)).min(1.0);
--- a/policy/src/quota/gate.rs
+++ b/policy/src/quota/gate.rs
@@ -134,7 +134,7 @@
     /// Decides for a request of a low-quota tenant. A fresh reading decides; otherwise the counter is read,
     /// as far as it keeps up, and the cached ratio decides for the rest. Clients' retries are not new demand.
     fn admit_low_quota(&mut self, request: &QuotaRequest, now: Millis, random: &mut Random) -> QuotaDecision {
-        let sampled = random.unit() < self.calls.call_ratio();
+        let sampled = random.uniform() < self.calls.call_ratio();
         // While the counter cannot keep up with all calls, those for retries are left out: they report no
         // demand.
         let wants_call = if request.client_retry { self.calls.call_ratio() >= 1.0 } else { sampled };
@@ -157,7 +157,7 @@
     pub(crate) fn admit_by_ratio(
         &mut self, request: &QuotaRequest, now: Millis, random: &mut Random,
     ) -> Option<QuotaDecision> {
-        let draw = random.unit();
+        let draw = random.uniform();
         let tenant = self.tenants.get(&request.tenant)?;
         let share = tenant.share(&self.plans);
         let decision =
@@ -249,7 +249,7 @@
     pub(crate) fn poll_counter(
         &mut self, tenant: &Name, now: Millis, random: &mut Random, actions: &mut Vec<Action>,
     ) {
-        if self.calls.none_in_flight() && random.unit() < self.calls.call_ratio() {
+        if self.calls.none_in_flight() && random.uniform() < self.calls.call_ratio() {
             self.request_block(tenant, now, actions);
         }
     }
--- a/policy/src/retry_after.rs
+++ b/policy/src/retry_after.rs
@@ -19,10 +19,10 @@
 /// random part.
 pub(crate) fn over_quota(shortfall: QuotaShortfall, random: &mut Random) -> Millis {
     let refill_time = shortfall.missing_units / shortfall.refill_rate.max(MIN_REFILL_RATE) * 1000.0;
-    refill_time * (1.0 + OVER_QUOTA_JITTER * random.unit())
+    refill_time * (1.0 + OVER_QUOTA_JITTER * random.uniform())
 }
 
 /// Returns the Retry-After of a request for which there is no capacity.
 pub(crate) fn load_shed(max_retry_after: Millis, random: &mut Random) -> Millis {
-    max_retry_after * (LOAD_SHED_FRACTION + LOAD_SHED_JITTER * random.unit())
+    max_retry_after * (LOAD_SHED_FRACTION + LOAD_SHED_JITTER * random.uniform())
 }
--- a/policy/src/subset.rs
+++ b/policy/src/subset.rs
@@ -14,7 +14,7 @@
 //! none depends on a single one.
 
 use crate::Name;
-use crate::hash::{hash, mix, unit};
+use crate::hash::{hash, mix, uniform};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -167,7 +167,7 @@
     pub(crate) fn insert(&mut self, slot: Slot, salt: u64, zone: &Name, cell: u64) {
         let position = self.position(salt);
         if !self.ring_by_zone.contains_key(zone) {
-            let shift = unit(self.position(hash(zone)));
+            let shift = uniform(self.position(hash(zone)));
             let ring = Ring { bins: vec![Vec::new(); self.bins], size: 0, shift };
             self.ring_by_zone.insert(zone.clone(), ring);
         }
