--- a/policy/src/endpoint.rs
+++ b/policy/src/endpoint.rs
@@ -15,9 +15,9 @@
 }
 
 impl QueueReport {
-    /// Returns the queue length to expect now; a report loses its weight over `decay_time`.
-    fn decayed(self, now: Millis, decay_time: Millis) -> f64 {
-        self.length * (-(now - self.received_at) / decay_time).exp()
+    /// Returns the expected queue length now: the reported one, decaying exponentially with `time_constant`.
+    fn decayed(self, now: Millis, time_constant: Millis) -> f64 {
+        self.length * (-(now - self.received_at) / time_constant).exp()
     }
 }
 
@@ -27,75 +27,73 @@
     pub(crate) name: Name,
     pub(crate) zone: Name,
     pub(crate) cell: u64,
-    /// A hash of the name.
-    pub(crate) salt: u64,
-    /// Whether it may be sent new requests.
+    pub(crate) name_hash: u64,
+    /// Whether new requests may be sent to it.
     pub(crate) ready: bool,
     pub(crate) removed: bool,
     pub(crate) start: EndpointStart,
-    /// Attempts of this gateway in flight.
+    /// The number of this gateway's attempts in flight.
     pub(crate) in_flight: u32,
-    limit: ConcurrencyLimit,
-    outlier: OutlierDetector,
-    queue: QueueReport,
-    /// Whether the snapshot that is being applied names it.
+    concurrency_limit: ConcurrencyLimit,
+    outlier_detector: OutlierDetector,
+    queue_report: QueueReport,
+    /// Whether the snapshot that is being applied contains it.
     pub(crate) in_snapshot: bool,
 }
 
 impl Endpoint {
-    /// Returns a new process of which nothing is known but its place in the endpoint list.
+    /// Returns the state of a new process, of which only the entry in the endpoint list is known.
     ///
-    /// `in_flight` are attempts at the process before it that have not ended yet.
+    /// `in_flight` is the number of attempts at the previous process that have not ended yet.
     pub(crate) fn new(entry: EndpointEntry, learned_at: Millis, in_flight: u32, gateway_count: u32) -> Self {
         Self {
-            salt: hash(&entry.name),
+            name_hash: hash(&entry.name),
             name: entry.name,
             zone: entry.zone,
             cell: entry.cell,
             start: EndpointStart { started_at: entry.started_at, learned_at },
             in_flight,
-            limit: ConcurrencyLimit::initial(gateway_count),
+            concurrency_limit: ConcurrencyLimit::initial(gateway_count),
             ..Self::default()
         }
     }
 
-    /// Returns the content of a slot that is free.
+    /// Returns the placeholder for a slot without an endpoint.
     pub(crate) fn vacant() -> Self {
         Self { removed: true, ..Self::default() }
     }
 
-    /// Returns whether another attempt fits and the endpoint is not ejected.
+    /// Returns whether the endpoint is below its concurrency limit and not ejected.
     pub(crate) fn is_available(&self, now: Millis) -> bool {
-        self.limit.has_capacity(self.in_flight) && !self.outlier.is_ejected(now)
+        self.concurrency_limit.has_capacity(self.in_flight) && !self.outlier_detector.is_ejected(now)
     }
 
-    /// Returns the concurrency limit.
-    pub(crate) fn limit(&self) -> ConcurrencyLimit {
-        self.limit
+    pub(crate) fn concurrency_limit(&self) -> ConcurrencyLimit {
+        self.concurrency_limit
     }
 
-    /// Returns the queue length to expect now, by the last load report.
-    pub(crate) fn expected_queue(&self, now: Millis, decay_time: Millis) -> f64 {
-        self.queue.decayed(now, decay_time)
+    /// Returns the expected queue length now, based on the last load report.
+    pub(crate) fn expected_queue_length(&self, now: Millis, time_constant: Millis) -> f64 {
+        self.queue_report.decayed(now, time_constant)
     }
 
-    /// Records a load report that arrives now.
+    /// Records a load report that is received now.
     pub(crate) fn record_load_report(&mut self, report: LoadReport, now: Millis) {
         if let Some(length) = report.queue_length {
-            self.queue = QueueReport { length, received_at: now };
+            self.queue_report = QueueReport { length, received_at: now };
         }
     }
 
-    /// Records the end of an attempt in concurrency limit and outlier detection. Returns a change of the
+    /// Updates the concurrency limit and outlier detection at the end of an attempt. Returns a change of the
     /// endpoint's ejection that is to be logged.
     pub(crate) fn record_attempt_end(
         &mut self, end: &AttemptEnd, timeliness: Timeliness, now: Millis, slow_start_duration: Millis,
     ) -> Option<EjectionChange> {
-        self.limit.record_response(timeliness, self.in_flight);
+        self.concurrency_limit.record_response(timeliness, self.in_flight);
         if end.outcome == Outcome::Served {
-            self.outlier.record_success()
+            self.outlier_detector.record_success()
         } else {
-            self.outlier.record_failure(now, end.outcome, end.latency, slow_start_duration)
+            self.outlier_detector.record_failure(now, end.outcome, end.latency, slow_start_duration)
         }
     }
 }
--- a/policy/src/engine.rs
+++ b/policy/src/engine.rs
@@ -162,7 +162,7 @@
 
     fn on_maintenance(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer { after: MAINTENANCE_INTERVAL, token: MAINTENANCE_TOKEN });
-        self.endpoints.drop_removed();
+        self.endpoints.free_removed();
         self.quota.maintain(self.now, actions);
         self.drain_wait_queue(actions);
     }
--- a/policy/src/subset.rs
+++ b/policy/src/subset.rs
@@ -1,51 +1,52 @@
-//! Deterministic subsetting: which endpoints one of many gateways works with.
+//! Deterministic subsetting: which endpoints each gateway of a large fleet sends requests to.
 //!
-//! If each of many gateways used each endpoint, connections, handshakes and cold starts would cost the fleet
-//! gateways times endpoints. If each drew a subset at random, some endpoints would be in many subsets and
-//! others in none. So the subset is computed from the gateway's index and the endpoint list alone, without
-//! coordination.
+//! If every gateway sent to every endpoint, the number of connections, handshakes and cold starts would be
+//! the number of gateways times the number of endpoints. If each gateway drew its subset at random, some
+//! endpoints would be in many subsets and others in none. Therefore the subset is computed from the gateway's
+//! index and the endpoint list alone, without coordination.
 //!
-//! Gateways are split into [`GATEWAYS_PER_ENDPOINT`] groups. Each group has its own ring: a hash puts every
-//! endpoint into one of as many bins as the group has gateways, and each bin belongs to one gateway. This is
-//! consistent hashing with bounded loads: a bin that holds more than its even part, and some slack, passes
-//! the rest on to the next. So each endpoint is in the subset of one gateway of each group, subsets are about
-//! equal in size, and an endpoint that comes or goes changes only its own bins and those that a passed-on
-//! endpoint reaches. Zones have rings of their own, so that every subset holds an even part of each zone and
-//! none depends on a single one.
+//! The gateways are split into [`GATEWAYS_PER_ENDPOINT`] groups, each with a hash ring of its own. The ring
+//! has one bin for each gateway of the group, and an endpoint's hash selects its bin. This is consistent
+//! hashing with bounded loads: endpoints beyond the capacity of a bin, which is an even share and some slack,
+//! overflow to the next bin. So each endpoint is in the subset of one gateway of each group, and subsets are
+//! of similar size. Adding or removing an endpoint affects only its own bin in each group and the bins that
+//! the overflow reaches. Each zone has rings of its own, so that every subset holds an even share of each
+//! zone and does not depend on a single one.
 
 use crate::Name;
 use crate::hash::{hash, mix, uniform};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The number of gateways that send to each endpoint, at least. With more, one gateway's traffic matters less
-/// at an endpoint; with fewer, each endpoint holds fewer connections and more requests share one.
+/// The minimum number of gateways that send to each endpoint. With more, the traffic of a single gateway
+/// matters less to an endpoint; with fewer, an endpoint has fewer connections with more requests on each.
 const GATEWAYS_PER_ENDPOINT: u32 = 8;
-/// The smallest subset, if there are as many endpoints. Where bins are smaller, several consecutive ones make
-/// up one subset.
+/// The minimum size of a subset, if there are that many endpoints. If bins are smaller, a subset consists of
+/// several consecutive bins.
 const MIN_SUBSET_SIZE: f64 = 4.0;
-/// Bins take this fraction more than an even part. With less, sizes are more even; with more, a change is
-/// passed on less far.
+/// The capacity of a bin beyond an even share, as a fraction. With less slack, subset sizes are more even;
+/// with more, the overflow of a change reaches fewer bins.
 const BIN_SLACK: f64 = 0.02;
-/// The number of standby endpoints beside the subset.
+/// The number of standby endpoints outside the subset.
 const STANDBY_SIZE: usize = 16;
 
-/// The index of an endpoint in the table of its owner.
+/// The index of an endpoint in the endpoint table.
 pub(crate) type Slot = usize;
 
-/// An endpoint on a ring; entries are ordered by position.
+/// An endpoint on a ring. Entries are ordered by position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RingEntry {
     position: u64,
     slot: Slot,
 }
 
-/// The ready endpoints of one zone, in bins by their hash.
+/// The hash ring of one zone: its ready endpoints, in bins by their position.
 struct Ring {
     bins: Vec<Vec<RingEntry>>,
+    /// The number of endpoints in all bins.
     size: usize,
-    /// From 0 to 1: which bins take one endpoint more, as an even part is not a whole number.
-    shift: f64,
+    /// From 0 to 1: selects the bins whose capacity is rounded up, as an even share is not a whole number.
+    rounding_offset: f64,
 }
 
 impl Ring {
@@ -68,15 +69,15 @@
         self.size -= before - self.bins[bin].len();
     }
 
-    /// Returns how many endpoints a bin keeps at most.
+    /// Returns the maximum number of endpoints that are assigned to a bin.
     fn capacity(&self, bin: usize) -> usize {
-        let even_part = self.size as f64 / self.bins.len() as f64 * (1.0 + BIN_SLACK);
-        let up_to = |bin: usize| (bin as f64 * even_part + self.shift) as usize;
-        up_to(bin + 1) - up_to(bin)
+        let mean_capacity = self.size as f64 / self.bins.len() as f64 * (1.0 + BIN_SLACK);
+        let capacity_before = |bin: usize| (bin as f64 * mean_capacity + self.rounding_offset) as usize;
+        capacity_before(bin + 1) - capacity_before(bin)
     }
 
-    /// Returns how many bins before `first` pass endpoints on to it.
-    fn bins_passing_on_to(&self, first: usize) -> usize {
+    /// Returns how many consecutive bins before `first` contribute to the overflow into it.
+    fn bins_overflowing_into(&self, first: usize) -> usize {
         let count = self.bins.len();
         let mut excess = 0;
         let mut largest_excess = 0;
@@ -91,27 +92,27 @@
         bins
     }
 
-    /// Appends the endpoints of `joined` consecutive bins from `first` on, once each bin has passed on its
-    /// excess.
-    fn assign(&self, first: usize, joined: usize, assigned: &mut Vec<RingEntry>) {
+    /// Appends the endpoints assigned to `bin_count` consecutive bins from `first` on, after the overflow of
+    /// all bins.
+    fn assign(&self, first: usize, bin_count: usize, assigned: &mut Vec<RingEntry>) {
         let count = self.bins.len();
-        let before = self.bins_passing_on_to(first);
-        let mut passed_on = VecDeque::new();
-        for step in 0..before + joined {
+        let before = self.bins_overflowing_into(first);
+        let mut overflow = VecDeque::new();
+        for step in 0..before + bin_count {
             let bin = (first + count - before + step) % count;
             let capacity = self.capacity(bin);
             let entries = &self.bins[bin];
             let (kept, excess) = entries.split_at(entries.len().min(capacity));
             let free = capacity - kept.len();
-            let received: Vec<_> = passed_on.drain(..passed_on.len().min(free)).collect();
-            passed_on.extend(excess);
+            let received: Vec<_> = overflow.drain(..overflow.len().min(free)).collect();
+            overflow.extend(excess);
             if step >= before {
                 assigned.extend(kept.iter().copied().chain(received));
             }
         }
     }
 
-    /// Iterates over the endpoints of all bins, from `first` on.
+    /// Iterates over the endpoints of all bins, starting with bin `first`.
     fn iter_from(&self, first: usize) -> impl Iterator<Item = Slot> {
         let (before, after) = self.bins.split_at(first % self.bins.len());
         after.iter().chain(before).flatten().map(|entry| entry.slot)
@@ -120,68 +121,69 @@
 
 /// The subset of one gateway.
 ///
-/// It follows the endpoint list: a change of one endpoint touches its bin alone, and the consequences are
-/// computed once for all changes of a list, by [`Subset::refresh`].
+/// It is updated from the endpoint list: each added or removed endpoint changes only its bin, and
+/// [`Subset::refresh`] recomputes the result once for all changes of a list.
 #[derive(Default)]
 pub(crate) struct Subset {
-    /// The group of the gateway.
+    /// The gateway's group.
     group: u64,
-    /// The gateway's bin.
+    /// The gateway's bin on the rings of its group.
     bin: usize,
-    /// The number of bins of its group.
-    bins: usize,
+    /// The number of bins of each ring.
+    bin_count: usize,
     ring_by_zone: BTreeMap<Name, Ring>,
     slots_by_cell: FxHashMap<u64, Vec<Slot>>,
-    /// The number of ready endpoints.
-    ready: usize,
-    /// Whether endpoints were inserted or removed since members and standby endpoints were computed.
+    /// The number of ready endpoints, in the subset or not.
+    ready_count: usize,
+    /// Whether endpoints were inserted or removed since the last [`Subset::refresh`].
     stale: bool,
     members: Vec<Slot>,
     standby: Vec<Slot>,
 }
 
 impl Subset {
-    /// Returns the subset of the gateway with this index, one of [`GATEWAYS_PER_ENDPOINT`] for each endpoint.
+    /// Returns an empty subset for a gateway of a large fleet: each endpoint is in
+    /// [`GATEWAYS_PER_ENDPOINT`] subsets.
     pub(crate) fn new(gateway_index: u32, gateway_count: u32) -> Self {
         Self::with_groups(gateway_index, gateway_count, GATEWAYS_PER_ENDPOINT.min(gateway_count.max(1)))
     }
 
-    /// Returns a subset that holds all endpoints, for a gateway of a small fleet.
+    /// Returns an empty subset for a gateway of a small fleet: it holds every endpoint that is inserted.
     pub(crate) fn of_all_endpoints(gateway_index: u32, gateway_count: u32) -> Self {
         Self::with_groups(gateway_index, gateway_count, gateway_count.max(1))
     }
 
     fn with_groups(gateway_index: u32, gateway_count: u32, groups: u32) -> Self {
         let group = gateway_index % groups;
-        let bins = gateway_count.saturating_sub(group).div_ceil(groups).max(1) as usize;
-        let bin = (gateway_index / groups) as usize % bins;
-        Self { group: group.into(), bin, bins, ..Self::default() }
+        let bin_count = gateway_count.saturating_sub(group).div_ceil(groups).max(1) as usize;
+        let bin = (gateway_index / groups) as usize % bin_count;
+        Self { group: group.into(), bin, bin_count, ..Self::default() }
     }
 
-    /// Returns the position of a hash on the group's rings.
-    fn position(&self, salt: u64) -> u64 {
-        mix(salt ^ mix(self.group + 1))
+    /// Returns the position of a hashed name on the group's rings.
+    fn position(&self, name_hash: u64) -> u64 {
+        mix(name_hash ^ mix(self.group + 1))
     }
 
-    /// Adds an endpoint that is ready; its salt is a hash of its name.
-    pub(crate) fn insert(&mut self, slot: Slot, salt: u64, zone: &Name, cell: u64) {
-        let position = self.position(salt);
+    /// Inserts a ready endpoint.
+    pub(crate) fn insert(&mut self, slot: Slot, name_hash: u64, zone: &Name, cell: u64) {
+        let position = self.position(name_hash);
         if !self.ring_by_zone.contains_key(zone) {
-            let shift = uniform(self.position(hash(zone)));
-            let ring = Ring { bins: vec![Vec::new(); self.bins], size: 0, shift };
+            let rounding_offset = uniform(self.position(hash(zone)));
+            let ring = Ring { bins: vec![Vec::new(); self.bin_count], size: 0, rounding_offset };
             self.ring_by_zone.insert(zone.clone(), ring);
         }
         if let Some(ring) = self.ring_by_zone.get_mut(zone) {
             ring.insert(position, slot);
         }
         self.slots_by_cell.entry(cell).or_default().push(slot);
-        self.ready += 1;
+        self.ready_count += 1;
         self.stale = true;
     }
 
-    /// Removes an endpoint that was inserted with the same salt, zone and cell.
-    pub(crate) fn remove(&mut self, slot: Slot, salt: u64, zone: &Name, cell: u64) {
-        let position = self.position(salt);
+    /// Removes an endpoint that was inserted with the same name hash, zone and cell.
+    pub(crate) fn remove(&mut self, slot: Slot, name_hash: u64, zone: &Name, cell: u64) {
+        let position = self.position(name_hash);
         if let Some(ring) = self.ring_by_zone.get_mut(zone) {
             ring.remove(position, slot);
             if ring.size == 0 {
@@ -194,22 +196,22 @@
                 self.slots_by_cell.remove(&cell);
             }
         }
-        self.ready -= 1;
+        self.ready_count -= 1;
         self.stale = true;
     }
 
-    /// Computes members and standby endpoints anew, if endpoints were inserted or removed.
+    /// Recomputes members and standby endpoints if endpoints were inserted or removed.
     pub(crate) fn refresh(&mut self) {
         if !std::mem::take(&mut self.stale) {
             return;
         }
-        let wanted_bins = (MIN_SUBSET_SIZE * self.bins as f64 / self.ready.max(1) as f64).ceil() as usize;
-        let joined = wanted_bins.clamp(1, self.bins);
+        let bins_for_min_size = MIN_SUBSET_SIZE * self.bin_count as f64 / self.ready_count.max(1) as f64;
+        let subset_bins = (bins_for_min_size.ceil() as usize).clamp(1, self.bin_count);
         let mut assigned = Vec::new();
         for ring in self.ring_by_zone.values() {
-            ring.assign(self.bin, joined, &mut assigned);
+            ring.assign(self.bin, subset_bins, &mut assigned);
         }
-        // Sorted by hash, so that neighbours are of different zones.
+        // Ordered by ring position, so that consecutive members are from different zones.
         assigned.sort_unstable();
         self.members = assigned.into_iter().map(|entry| entry.slot).collect();
         self.refresh_standby();
@@ -217,7 +219,7 @@
 
     fn refresh_standby(&mut self) {
         self.standby.clear();
-        if self.members.len() >= self.ready {
+        if self.members.len() >= self.ready_count {
             return;
         }
         let per_zone = STANDBY_SIZE.div_ceil(self.ring_by_zone.len());
@@ -229,9 +231,9 @@
         }
     }
 
-    /// Returns how many endpoints are ready, of all that are listed.
-    pub(crate) fn ready(&self) -> usize {
-        self.ready
+    /// Returns the number of ready endpoints, in the subset or not.
+    pub(crate) fn ready_count(&self) -> usize {
+        self.ready_count
     }
 
     /// Returns the endpoints of the subset.
@@ -239,19 +241,19 @@
         &self.members
     }
 
-    /// Returns the endpoints that take over where the members have no capacity.
+    /// Returns the endpoints that are used when the subset has no capacity.
     pub(crate) fn standby(&self) -> &[Slot] {
         &self.standby
     }
 
-    /// Iterates over endpoints of a zone, from the gateway's bin on, up to the number of standby endpoints.
-    pub(crate) fn of_zone(&self, zone: &Name) -> impl Iterator<Item = Slot> {
+    /// Iterates over at most [`STANDBY_SIZE`] endpoints of a zone, starting with the gateway's bin.
+    pub(crate) fn in_zone(&self, zone: &Name) -> impl Iterator<Item = Slot> {
         let ring = self.ring_by_zone.get(zone).into_iter();
         ring.flat_map(|ring| ring.iter_from(self.bin)).take(STANDBY_SIZE)
     }
 
     /// Returns the endpoints of a cell.
-    pub(crate) fn of_cell(&self, cell: u64) -> &[Slot] {
+    pub(crate) fn in_cell(&self, cell: u64) -> &[Slot] {
         self.slots_by_cell.get(&cell).map_or(&[], Vec::as_slice)
     }
 }
