--- a/policy/tests/endpoint_table.rs
+++ b/policy/tests/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoint table: draining and removal, slow start, ejection, and limits of attempts in flight.
+//! The endpoint table: draining, removal, slow start, ejection, and limits on attempts in flight.
 
 mod common;
 use common::*;
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn endpoint_that_a_snapshot_does_not_name_is_removed() {
+fn endpoint_missing_from_a_snapshot_is_removed() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
 
     gateway.handle(Event::EndpointSnapshot(vec![endpoint("a2", EndpointState::Ready, None)]));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn endpoint_in_slow_start_gets_less_than_its_share_of_requests() {
+fn endpoint_in_slow_start_gets_less_than_an_even_share_of_requests() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let started_at = Some(gateway.now);
 
@@ -40,8 +40,8 @@
         gateway.end_attempt(id, 0, &chosen, Outcome::Served);
     }
 
-    // Two others share the rest: a tenth of it is a fifth of what one of them gets.
-    assert!((1..=10).contains(&to_slow_start), "{to_slow_start}");
+    // The two other endpoints share the rest: 10 requests are about a fifth of what each gets.
+    assert!((1..=10).contains(&to_slow_start), "{to_slow_start} of 100");
 }
 
 #[test]
@@ -59,7 +59,7 @@
         logs = gateway.end_attempt(id, 0, &chosen, outcome);
         if outcome == Outcome::TimedOut && timeouts == 1 {
             let next = gateway.forward_request(1000, "other", "plain", "non_idempotent");
-            assert_eq!(&*next, "a2", "after one failure it is ejected for as long as the failure took");
+            assert_eq!(&*next, "a2", "one timeout ejects the endpoint for as long as the attempt took");
             gateway.end_attempt(1000, 0, &next, Outcome::Served);
         }
         gateway.now += 150.0;
@@ -79,7 +79,7 @@
         &*chosen == "a1"
     });
 
-    assert!(retried, "it gets requests again after the backoff");
+    assert!(retried, "the endpoint gets requests again after its ejection");
 }
 
 #[test]
@@ -98,12 +98,12 @@
         }
     }
     let actions = gateway.request(50, "c50", "plain", "non_idempotent");
-    let CounterCall { key, amount } = counter_call(&actions).expect("a call");
+    let CounterCall { key, amount } = counter_call(&actions).expect("a counter call");
 
     assert_eq!(
         forward_count(&gateway.reply_total(key, amount)),
         0,
-        "the third consecutive reset counts against the endpoint"
+        "the third consecutive connection reset ejects the endpoint"
     );
 }
 
@@ -121,8 +121,11 @@
         rejected += usize::from(is_rejected(&actions, id));
     }
 
-    assert!((1..=3).contains(&forwarded_count), "five for two gateways: {forwarded_count}");
-    assert!(rejected > 30, "{rejected}");
+    assert!(
+        (1..=3).contains(&forwarded_count),
+        "forwarded {forwarded_count} of 40, with a limit of 3.5 shared by two gateways"
+    );
+    assert!(rejected > 30, "rejected {rejected} of 40");
 }
 
 #[test]
@@ -134,13 +137,13 @@
     assert_eq!(
         forward_count(&gateway.request(2, "c", "capped", "idempotent")),
         0,
-        "two in flight for two gateways: one each"
+        "a limit of two in flight, shared by two gateways, leaves one for each"
     );
     assert_eq!(forwarded(&gateway.end_attempt(1, 0, &chosen, Outcome::Served)).map(|(id, _)| id), Some(2));
 }
 
 #[test]
-fn removed_endpoints_are_dropped_once_nothing_is_in_flight() {
+fn removed_endpoints_are_freed_once_nothing_is_in_flight() {
     let mut gateway = TestGateway::new(settings(), &["a0"]);
 
     let chosen = gateway.forward_request(1, "c", "plain", "idempotent");
@@ -149,7 +152,7 @@
         let new = format!("a{number}");
         let changes =
             vec![endpoint(&old, EndpointState::Removed, None), endpoint(&new, EndpointState::Ready, None)];
-        // By deltas and by snapshots alike.
+        // Deltas and snapshots in turn.
         let snapshot = vec![endpoint(&new, EndpointState::Ready, None)];
         gateway.handle(if number % 2 == 0 {
             Event::EndpointDelta(changes)
@@ -163,7 +166,7 @@
     assert_eq!(
         gateway.engine.endpoint_count(),
         2,
-        "the last one, and the first, at which an attempt is in flight"
+        "the listed endpoint, and the first one, which still has an attempt in flight"
     );
 
     gateway.end_attempt(1, 0, &chosen, Outcome::Served);
@@ -173,7 +176,7 @@
 }
 
 #[test]
-fn keyed_retry_stays_in_its_cell_when_its_first_endpoint_is_dropped() {
+fn keyed_retry_stays_in_its_cell_when_its_first_endpoint_is_removed() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
 
     let chosen = gateway.forward_request(1, "c", "plain", "keyed");
@@ -186,7 +189,7 @@
     assert_eq!(
         forward_count(&gateway.handle(Event::Timer { token: 1 })),
         0,
-        "another cell does not recognize the key"
+        "endpoints of another cell do not recognize the idempotency key"
     );
     assert_eq!(gateway.engine.endpoint_count(), 1);
 
--- a/policy/tests/slow_start/fleet.rs
+++ b/policy/tests/slow_start/fleet.rs
@@ -1,7 +1,7 @@
-//! A fleet of policy engines in virtual time, with a counter and endpoints in slow start.
+//! A simulation in virtual time: a fleet of policy engines, a counter, and endpoints in slow start.
 
-use crate::case::*;
 use crate::common::{CounterStandIn, Random, Schedule, arrival, endpoint};
+use crate::scenario::*;
 use ryefront_policy::*;
 use std::collections::BTreeMap;
 
@@ -10,86 +10,88 @@
 pub(crate) struct ForwardedRequest {
     at: Millis,
     /// Whether the gateway had learned of the start.
-    informed: bool,
+    start_known: bool,
 }
 
 enum Step {
+    /// A gateway handles an event.
     Handle(usize, Event),
     /// A gateway learns of the start.
-    LearnStart(usize),
+    LearnOfStart(usize),
 }
 
 pub(crate) struct Fleet {
-    pub(crate) case: Case,
+    pub(crate) scenario: Scenario,
     settings: Settings,
     random: Random,
     gateways: Vec<PolicyEngine>,
     schedule: Schedule<Step>,
     now: Millis,
     counter: CounterStandIn,
-    /// The number of the last attempt of each request.
-    attempts: BTreeMap<RequestId, u32>,
+    /// The number of the last attempt of each request, from 0.
+    last_attempt: BTreeMap<RequestId, u32>,
     /// Whether each gateway has learned of the start.
-    learned: Vec<bool>,
-    /// The number of requests that wait at each gateway.
+    start_known: Vec<bool>,
+    /// The number of requests waiting at each gateway.
     waiting: Vec<usize>,
-    /// Whether the maintenance of each gateway is due. It runs in time while requests wait there, else with
-    /// the next event, which saves most of the work of hundreds of gateways.
+    /// Whether each gateway's maintenance timer has expired and is not handled yet. It is handled on time
+    /// while requests wait there, and otherwise before the next event, which saves most of the work of
+    /// simulating hundreds of gateways.
     maintenance_due: Vec<bool>,
-    /// The requests that were forwarded to each endpoint in slow start.
-    pub(crate) forwarded: BTreeMap<Name, Vec<ForwardedRequest>>,
-    /// The number of attempts forwarded to all endpoints.
-    pub(crate) all_forwarded: usize,
+    /// The requests forwarded to each endpoint in slow start, in order of time.
+    pub(crate) forwarded_by_endpoint: BTreeMap<Name, Vec<ForwardedRequest>>,
+    /// The number of attempts forwarded to all endpoints together.
+    pub(crate) total_forwarded: usize,
 }
 
 impl Fleet {
-    pub(crate) fn new(case: Case) -> Self {
-        let settings = case.settings();
-        let mut seeds = Random(u64::from(case.gateways));
-        let gateways = (0..case.gateways)
+    pub(crate) fn new(scenario: Scenario) -> Self {
+        let settings = scenario.settings();
+        let mut seeds = Random(u64::from(scenario.gateways));
+        let gateways = (0..scenario.gateways)
             .map(|number| {
                 let settings = Settings { gateway_index: number, ..settings.clone() };
                 PolicyEngine::new(settings, seeds.below(u64::MAX)).expect("usable settings")
             })
             .collect::<Vec<_>>();
-        let starting = case.endpoint_names().starting.into_iter();
+        let starting = scenario.endpoint_names().starting.into_iter();
         Self {
-            case,
+            scenario,
             settings,
             random: Random(7),
-            learned: vec![false; gateways.len()],
+            start_known: vec![false; gateways.len()],
             waiting: vec![0; gateways.len()],
             maintenance_due: vec![false; gateways.len()],
             gateways,
             schedule: Schedule::new(),
             now: 0.0,
             counter: CounterStandIn::default(),
-            attempts: BTreeMap::new(),
-            forwarded: starting.map(|name| (name, Vec::new())).collect(),
-            all_forwarded: 0,
+            last_attempt: BTreeMap::new(),
+            forwarded_by_endpoint: starting.map(|name| (name, Vec::new())).collect(),
+            total_forwarded: 0,
         }
     }
 
-    /// Schedules the first endpoint list, and the start as each gateway learns of it.
+    /// Schedules the first endpoint list of each gateway, and the time at which it learns of the start.
     fn schedule_endpoint_lists(&mut self) {
-        let names = self.case.endpoint_names();
+        let names = self.scenario.endpoint_names();
         let mut listed = names.warm;
-        if self.case.restarted {
+        if self.scenario.restarted {
             listed.extend(names.starting);
         }
         for gateway in 0..self.gateways.len() {
             let list = listed.iter().map(|name| endpoint(name, EndpointState::Ready, None)).collect();
             self.schedule.at(0.0, Step::Handle(gateway, Event::EndpointSnapshot(list)));
-            let delay = self.random.unit() * self.case.max_delay;
-            self.schedule.at(START + delay, Step::LearnStart(gateway));
+            let delay = self.random.unit() * self.scenario.max_discovery_delay;
+            self.schedule.at(START + delay, Step::LearnOfStart(gateway));
         }
     }
 
-    /// Schedules all requests, at random intervals and gateways.
+    /// Schedules all requests, at random intervals (a Poisson process) and at random gateways.
     fn schedule_requests(&mut self) {
-        let weights = self.case.traffic_weights();
+        let weights = self.scenario.traffic_weights();
         let total_weight: f64 = weights.iter().sum();
-        let mean_interval = 1000.0 / (self.case.load * CAPACITY * self.case.endpoints as f64);
+        let mean_interval = 1000.0 / (self.scenario.load * CAPACITY * self.scenario.endpoints as f64);
         let mut arrives_at = 0.0;
         let mut id = 0;
         while arrives_at < END {
@@ -101,7 +103,7 @@
         }
     }
 
-    pub(crate) fn play(&mut self) {
+    pub(crate) fn run(&mut self) {
         self.schedule_endpoint_lists();
         self.schedule_requests();
         while let Some((now, step)) = self.schedule.next().filter(|(now, _)| *now <= END) {
@@ -116,14 +118,15 @@
                     }
                     self.handle(gateway, event);
                 }
-                Step::LearnStart(gateway) => self.learn_start(gateway),
+                Step::LearnOfStart(gateway) => self.learn_of_start(gateway),
             }
         }
     }
 
-    fn learn_start(&mut self, gateway: usize) {
-        self.learned[gateway] = true;
-        let starting = self.forwarded.keys().map(|name| endpoint(name, EndpointState::Ready, Some(START)));
+    fn learn_of_start(&mut self, gateway: usize) {
+        self.start_known[gateway] = true;
+        let starting =
+            self.forwarded_by_endpoint.keys().map(|name| endpoint(name, EndpointState::Ready, Some(START)));
         let changes = Event::EndpointDelta(starting.collect());
         self.handle(gateway, changes);
     }
@@ -147,7 +150,7 @@
                 self.schedule.at(self.now + after, Step::Handle(gateway, Event::Timer { token }));
             }
             Action::IncrementCounter { key, amount, .. } => {
-                let (latency, reply) = self.counter.call(key, amount, self.case.counter);
+                let (latency, reply) = self.counter.call(key, amount, self.scenario.counter_available);
                 self.schedule.at(self.now + latency, Step::Handle(gateway, reply));
             }
             Action::ForwardAttempt { id, endpoint, .. } => {
@@ -160,11 +163,11 @@
     }
 
     fn forward(&mut self, gateway: usize, id: RequestId, endpoint: Name) {
-        self.all_forwarded += 1;
-        if let Some(forwarded) = self.forwarded.get_mut(&endpoint).filter(|_| self.now >= START) {
-            forwarded.push(ForwardedRequest { at: self.now, informed: self.learned[gateway] });
+        self.total_forwarded += 1;
+        if let Some(forwarded) = self.forwarded_by_endpoint.get_mut(&endpoint).filter(|_| self.now >= START) {
+            forwarded.push(ForwardedRequest { at: self.now, start_known: self.start_known[gateway] });
         }
-        let attempt = *self.attempts.entry(id).and_modify(|attempt| *attempt += 1).or_insert(0);
+        let attempt = *self.last_attempt.entry(id).and_modify(|attempt| *attempt += 1).or_insert(0);
         let outcome = self.draw_outcome(&endpoint);
         let latency = match outcome {
             Outcome::Rejected => REJECTION_LATENCY,
@@ -185,7 +188,7 @@
     }
 
     fn draw_outcome(&mut self, endpoint: &Name) -> Outcome {
-        match self.case.failures {
+        match self.scenario.failures {
             Failures::None => Outcome::Served,
             Failures::Fraction(fraction, failure) => {
                 if self.random.unit() < fraction {
@@ -195,24 +198,24 @@
                 }
             }
             Failures::AllOtherEndpoints(failure) => {
-                let spared = self.now < START || self.forwarded.contains_key(endpoint);
-                if spared { Outcome::Served } else { failure }
+                let succeeds = self.now < START || self.forwarded_by_endpoint.contains_key(endpoint);
+                if succeeds { Outcome::Served } else { failure }
             }
         }
     }
 
-    /// Returns the worst window of all endpoints in slow start, as a ratio to its budget.
-    pub(crate) fn worst(&self) -> f64 {
-        let mut worst: f64 = 0.0;
-        for forwarded in self.forwarded.values() {
+    /// Returns the highest load of an endpoint in slow start in any window, as a ratio to its budget there.
+    pub(crate) fn max_budget_ratio(&self) -> f64 {
+        let mut max_ratio: f64 = 0.0;
+        for forwarded in self.forwarded_by_endpoint.values() {
             for (index, first) in forwarded.iter().enumerate() {
-                worst = worst.max(counted_requests(&forwarded[index..]) / self.budget(first.at));
+                max_ratio = max_ratio.max(counted_requests(&forwarded[index..]) / self.budget(first.at));
             }
         }
-        worst
+        max_ratio
     }
 
-    /// Returns the most requests that an endpoint in slow start may get in the window that begins at `from`.
+    /// Returns how many requests an endpoint in slow start may get in the window that begins at `from`.
     fn budget(&self, from: Millis) -> f64 {
         let settings = &self.settings;
         let progress = ((from - START) / settings.slow_start_duration).min(1.0);
@@ -224,23 +227,25 @@
     }
 }
 
-/// Returns how many requests count in the window that begins with the first of these. A window of which a
-/// third or more came from gateways that did not know of the start counts with what the others forwarded.
+/// Returns how many requests count against the budget in the window that begins with the first of these.
+///
+/// If more than a third came from gateways that did not know of the start, only the requests of the other
+/// gateways count.
 fn counted_requests(forwarded: &[ForwardedRequest]) -> f64 {
     let from = forwarded[0].at;
     let window = forwarded.iter().take_while(|request| request.at - from < OVERLOAD_WINDOW);
     let mut all = 0.0;
-    let mut informed = 0.0;
+    let mut with_known_start = 0.0;
     for request in window {
         all += 1.0;
-        informed += f64::from(u8::from(request.informed));
+        with_known_start += f64::from(u8::from(request.start_known));
     }
-    if informed * 1.5 >= all { all } else { informed }
+    if with_known_start * 1.5 >= all { all } else { with_known_start }
 }
 
-/// Returns the index at which the sum of the weights exceeds `drawn`, or 0 if none does by rounding.
-fn index_by_weight(weights: &[f64], drawn: f64) -> usize {
-    let mut remaining = drawn;
+/// Returns the index at which the cumulative weight exceeds `draw`, or 0 if none does due to rounding.
+fn index_by_weight(weights: &[f64], draw: f64) -> usize {
+    let mut remaining = draw;
     let index = weights.iter().position(|weight| {
         remaining -= weight;
         remaining < 0.0
@@ -248,7 +253,7 @@
     index.unwrap_or(0)
 }
 
-/// Returns a request of a tenant that one gateway serves.
+/// Returns a request of a tenant that is served by this gateway alone.
 fn arrival_at(gateway: usize, id: RequestId) -> Arrival {
     Arrival {
         time_to_deadline: 3000.0,
--- a/policy/tests/slow_start/case.rs
+++ b/policy/tests/slow_start/scenario.rs
@@ -1,87 +1,88 @@
-//! The cases that are played: fleet, traffic, failures, and what starts.
+//! The scenarios of the simulation: fleet size, traffic, failures, and the endpoints that start.
 
 use crate::common::settings;
 use ryefront_policy::*;
 
-/// Requests of mean work per second that one endpoint with all its capacity can do.
+/// Requests of mean cost per second that one endpoint can serve at full capacity.
 pub(crate) const CAPACITY: f64 = 40.0;
-/// How long an attempt takes that is served or fails.
+/// The latency of an attempt that is served, or fails otherwise than below.
 pub(crate) const LATENCY: Millis = 50.0;
-/// How long a rejected attempt takes.
+/// The latency of a rejected attempt.
 pub(crate) const REJECTION_LATENCY: Millis = 2.0;
-/// How long an attempt takes that times out.
+/// The latency of an attempt that times out.
 pub(crate) const TIMEOUT: Millis = 2000.0;
 pub(crate) const OVERLOAD_WINDOW: Millis = 1000.0;
 pub(crate) const OVERLOAD_FACTOR: f64 = 2.0;
-/// When the endpoints in slow start have started.
+/// When the endpoints in slow start were started.
 pub(crate) const START: Millis = 1000.0;
 pub(crate) const SLOW_START_DURATION: Millis = 5000.0;
-/// When the last request arrives: slow start is over by then.
+/// The end of the simulation, which is also the end of slow start.
 pub(crate) const END: Millis = START + SLOW_START_DURATION;
 
-/// How the requests are spread over the gateways.
+/// The distribution of requests over the gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Traffic {
     Even,
-    /// A tenth of the gateways, at least one, get eight times the requests of the others.
-    Eightfold,
+    /// A tenth of the gateways, at least one, get eight times as many requests as each of the others.
+    EightfoldAtTenth,
     /// One gateway gets half of all requests.
-    Half,
+    HalfAtOne,
 }
 
 /// Which attempts fail, and how.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Failures {
     None,
-    /// This fraction of all attempts.
+    /// This fraction of all attempts, at random.
     Fraction(f64, Outcome),
-    /// All attempts at endpoints that are not in slow start, from the start on.
+    /// All attempts at endpoints that are not in slow start, from [`START`] on.
     AllOtherEndpoints(Outcome),
 }
 
-/// One fleet with endpoints in slow start.
+/// A fleet in which some endpoints go through slow start.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Case {
+pub(crate) struct Scenario {
     pub(crate) gateways: u32,
     pub(crate) endpoints: usize,
-    /// The fraction of the endpoints that start; at least one.
-    pub(crate) starting: f64,
-    /// Requests made, as a fraction of what all endpoints could do with all their capacity.
+    /// The fraction of the endpoints that start, at least one endpoint.
+    pub(crate) starting_fraction: f64,
+    /// The request rate, as a fraction of what all endpoints can serve at full capacity.
     pub(crate) load: f64,
     pub(crate) traffic: Traffic,
     pub(crate) failures: Failures,
-    /// Gateways learn of the start up to this much later.
-    pub(crate) max_delay: Millis,
-    /// The starting endpoints ran before, and gateways that have not learned of the start use them as before.
+    /// Gateways learn of the start after random delays up to this.
+    pub(crate) max_discovery_delay: Millis,
+    /// Whether the starting endpoints ran before. Gateways that have not learned of the restart still use
+    /// them as endpoints at full capacity.
     pub(crate) restarted: bool,
-    /// Whether the counter replies.
-    pub(crate) counter: bool,
+    pub(crate) counter_available: bool,
 }
 
-/// One endpoint in slow start, with traffic that all endpoints together can just serve; sizes are added.
-pub(crate) const CASE: Case = Case {
+/// One endpoint in slow start, with as many requests as all endpoints together can serve. The numbers of
+/// gateways and endpoints are set by each test.
+pub(crate) const BASE_SCENARIO: Scenario = Scenario {
     gateways: 0,
     endpoints: 0,
-    starting: 0.0,
+    starting_fraction: 0.0,
     load: 1.0,
     traffic: Traffic::Even,
     failures: Failures::None,
-    max_delay: 0.0,
+    max_discovery_delay: 0.0,
     restarted: false,
-    counter: true,
+    counter_available: true,
 };
 
-/// The names of the endpoints of a case.
+/// The names of the endpoints of a scenario.
 pub(crate) struct EndpointNames {
-    /// Those with all their capacity.
+    /// The endpoints at full capacity.
     pub(crate) warm: Vec<Name>,
-    /// Those that start.
+    /// The endpoints that start.
     pub(crate) starting: Vec<Name>,
 }
 
-impl Case {
+impl Scenario {
     pub(crate) fn endpoint_names(&self) -> EndpointNames {
-        let starting_count = ((self.endpoints as f64 * self.starting) as usize).max(1);
+        let starting_count = ((self.endpoints as f64 * self.starting_fraction) as usize).max(1);
         let mut warm: Vec<Name> =
             (0..self.endpoints).map(|index| format!("a{index}").as_str().into()).collect();
         let starting = warm.split_off(self.endpoints - starting_count);
@@ -99,12 +100,12 @@
         settings
     }
 
-    /// Returns the relative number of requests that each gateway gets.
+    /// Returns the relative request rate of each gateway.
     pub(crate) fn traffic_weights(&self) -> Vec<f64> {
         (0..self.gateways)
             .map(|gateway| match self.traffic {
-                Traffic::Eightfold if gateway % 10 == 0 => 8.0,
-                Traffic::Half if gateway == 0 => f64::from(self.gateways - 1),
+                Traffic::EightfoldAtTenth if gateway % 10 == 0 => 8.0,
+                Traffic::HalfAtOne if gateway == 0 => f64::from(self.gateways - 1),
                 _ => 1.0,
             })
             .collect()
--- a/policy/tests/subset.rs
+++ b/policy/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Deterministic subsetting, over all gateways of a fleet.
+//! Deterministic subsetting: the subsets of all gateways of a fleet, and the choice of endpoints within them.
 
 mod common;
 use common::*;
@@ -13,7 +13,7 @@
     name[1..].parse::<usize>().expect("a number") % zones
 }
 
-/// All gateways of a fleet that know endpoints `b0` to `b(count - 1)`, spread evenly over the zones.
+/// Returns the gateways of a fleet with endpoints `b0` to `b(count - 1)`, spread evenly over the zones.
 fn fleet(gateways: u32, count: usize, zones: usize) -> Vec<TestGateway> {
     let list: Vec<_> = (0..count).map(|n| entry(&format!("b{n}"), n % zones, EndpointState::Ready)).collect();
     (0..gateways)
@@ -30,15 +30,15 @@
     fleet_gateways.iter().map(|gateway| gateway.engine.subset().cloned().collect()).collect()
 }
 
-/// Returns how many gateways have each endpoint in their subsets.
+/// Returns for each endpoint how many gateways have it in their subset.
 fn gateways_by_endpoint(subsets: &[BTreeSet<Name>]) -> BTreeMap<Name, u32> {
-    let mut shares = BTreeMap::new();
-    subsets.iter().flatten().for_each(|name| *shares.entry(name.clone()).or_default() += 1);
-    shares
+    let mut counts = BTreeMap::new();
+    subsets.iter().flatten().for_each(|name| *counts.entry(name.clone()).or_default() += 1);
+    counts
 }
 
 #[test]
-fn endpoints_are_in_equally_many_subsets_of_about_equal_size() {
+fn endpoints_are_in_similarly_many_subsets_and_subsets_are_of_similar_size() {
     for (gateways, count, zones) in [
         (18, 10, 2),
         (30, 20, 2),
@@ -50,18 +50,25 @@
         (999, 800, 6),
     ] {
         let subsets = subsets(&fleet(gateways, count, zones));
-        let shares = gateways_by_endpoint(&subsets);
+        let setup = format!("{gateways} gateways, {count} endpoints, {zones} zones");
+        let gateway_counts = gateways_by_endpoint(&subsets);
         let mean = subsets.iter().map(BTreeSet::len).sum::<usize>() as f64 / count as f64;
-        let most = f64::from(*shares.values().max().expect("a share"));
-        assert!(shares.len() == count && most / mean <= 1.25, "{gateways} {count} {zones}: {most} of {mean}");
-        assert!(mean >= 8.0 || mean == f64::from(gateways), "{gateways} {count} {zones}: {mean}");
+        let most = f64::from(*gateway_counts.values().max().expect("an endpoint"));
+        assert!(
+            gateway_counts.len() == count && most / mean <= 1.25,
+            "{setup}: at most {most} gateways per endpoint, {mean} on average"
+        );
+        assert!(
+            mean >= 8.0 || mean == f64::from(gateways),
+            "{setup}: {mean} gateways per endpoint on average"
+        );
         let sizes = || subsets.iter().map(BTreeSet::len);
-        let least = sizes().min().expect("a subset");
+        let smallest = sizes().min().expect("a subset");
         let largest = sizes().max().expect("a subset");
-        let even = sizes().sum::<usize>() as f64 / f64::from(gateways);
+        let mean_size = sizes().sum::<usize>() as f64 / f64::from(gateways);
         assert!(
-            least >= 1 && largest as f64 <= 2.2 * even + 1.0,
-            "{gateways} {count} {zones}: {least} {largest}"
+            smallest >= 1 && largest as f64 <= 2.2 * mean_size + 1.0,
+            "{setup}: subsets of {smallest} to {largest} endpoints"
         );
     }
 }
@@ -74,13 +81,13 @@
 }
 
 #[test]
-fn subset_holds_an_even_part_of_each_zone() {
+fn subset_holds_an_even_share_of_each_zone() {
     let subsets = subsets(&fleet(300, 400, 3));
 
     for subset in &subsets {
         let mut zones = [0; 3];
         subset.iter().for_each(|name| zones[zone_of(name, 3)] += 1);
-        // 10.7 in all, 3.6 of each.
+        // A subset has 10.7 endpoints on average, 3.6 of each zone.
         assert!(zones.iter().all(|n| (1..=7).contains(n)), "{zones:?}");
     }
 }
@@ -89,9 +96,9 @@
 fn replaced_endpoint_changes_few_entries_of_few_subsets() {
     let mut fleet_gateways = fleet(300, 200, 3);
 
-    let changes = 20;
-    let mut changed = 0;
-    for n in 0..changes {
+    let replacements = 20;
+    let mut changed_entries = 0;
+    for n in 0..replacements {
         let before = subsets(&fleet_gateways);
         let (old, new) = (format!("b{n}"), format!("b{}", 200 + n));
         let list = vec![entry(&old, n % 3, EndpointState::Removed), entry(&new, n % 3, EndpointState::Ready)];
@@ -99,14 +106,18 @@
             .iter_mut()
             .for_each(|gateway| drop(gateway.handle(Event::EndpointDelta(list.clone()))));
         let entries = |(before, after): (&BTreeSet<Name>, &BTreeSet<Name>)| after.difference(before).count();
-        changed += before.iter().zip(&subsets(&fleet_gateways)).map(entries).sum::<usize>();
+        changed_entries += before.iter().zip(&subsets(&fleet_gateways)).map(entries).sum::<usize>();
     }
 
-    // The new endpoint alone is an entry of 8 subsets. A fifth of an entry of each of 300 is the bound.
-    assert!((8 * changes..=60 * changes).contains(&changed), "{changed} entries for {changes} changes");
+    // The new endpoint itself is in 8 subsets. The upper bound is a fifth of an entry per gateway, 60 entries
+    // for 300 gateways.
+    assert!(
+        (8 * replacements..=60 * replacements).contains(&changed_entries),
+        "{changed_entries} new subset entries after {replacements} replacements"
+    );
 
-    // The subset depends on the list alone, not on how the list came about.
-    let list: Vec<_> = (changes..200 + changes)
+    // The subset depends on the current endpoint list only, not on the changes that led to it.
+    let list: Vec<_> = (replacements..200 + replacements)
         .rev()
         .map(|n| entry(&format!("b{n}"), if n < 200 { n % 3 } else { (n - 200) % 3 }, EndpointState::Ready))
         .collect();
@@ -119,8 +130,8 @@
     }
 }
 
-/// Makes one request of a tenant of its own. Returns where it was forwarded.
-fn attempt(gateway: &mut TestGateway, id: RequestId) -> Option<Name> {
+/// Makes one request of a tenant with no other requests. Returns the endpoint that it was forwarded to.
+fn forward_request(gateway: &mut TestGateway, id: RequestId) -> Option<Name> {
     let arrival = arrival(id, &format!("c{id}"), "plain", "non_idempotent");
     let mut actions = gateway.handle(Event::RequestArrived(Arrival { gateways_per_tenant: 300, ..arrival }));
     if let Some(CounterCall { key, .. }) = counter_call(&actions) {
@@ -138,15 +149,15 @@
     let mut gateway = fleet(300, 200, 3).swap_remove(7);
     let members = subset_of(&gateway);
     let mut id = 0;
-    let mut elsewhere = 0;
+    let mut outside_subset = 0;
 
-    // After one timeout each the members are ejected, and standby endpoints are used.
-    while elsewhere < 20 {
+    // Each member of the subset is ejected after one timeout. Then standby endpoints are used.
+    while outside_subset < 20 {
         id += 1;
-        assert!(id < 100, "{elsewhere} of {id} went elsewhere");
-        let Some(chosen) = attempt(&mut gateway, id) else { continue };
+        assert!(id < 100, "only {outside_subset} of {id} requests were forwarded outside the subset");
+        let Some(chosen) = forward_request(&mut gateway, id) else { continue };
         let failed = members.contains(&chosen);
-        elsewhere += u32::from(!failed);
+        outside_subset += u32::from(!failed);
         let outcome = if failed { Outcome::TimedOut } else { Outcome::Served };
         let actions = gateway.end_attempt_after(400.0, id, 0, &chosen, outcome);
         assert_eq!(forward_count(&actions), 0);
@@ -163,7 +174,7 @@
     gateway.handle(Event::EndpointDelta(drained));
 
     assert!(!subset_of(&gateway).is_empty() && subset_of(&gateway).is_disjoint(&members));
-    assert!((1..=20).all(|id| attempt(&mut gateway, id).is_none_or(|chosen| {
+    assert!((1..=20).all(|id| forward_request(&mut gateway, id).is_none_or(|chosen| {
         gateway.end_attempt(id, 0, &chosen, Outcome::Served);
         !members.contains(&chosen)
     })));
@@ -180,12 +191,12 @@
     let mut to_slow_start = 0;
 
     for id in 1..=400 {
-        let chosen = attempt(&mut gateway, id).expect("an attempt");
+        let chosen = forward_request(&mut gateway, id).expect("an attempt");
         to_slow_start += u32::from(members.contains(&chosen));
         gateway.end_attempt(id, 0, &chosen, Outcome::Served);
     }
 
-    // At 0.2 of its capacity an endpoint gets about 0.15 of an even part.
+    // At 0.2 of its capacity an endpoint gets about 0.15 of an even share.
     assert!((20..=120).contains(&to_slow_start), "{to_slow_start} of 400");
 }
 
@@ -195,7 +206,7 @@
         let mut settings = Settings { gateway_count: 300, ..settings() };
         settings.classes[1].dedup_scope = dedup_scope;
         let mut gateway = TestGateway::seeded(settings, 5, &[]);
-        // Four consecutive endpoints are one cell and one zone.
+        // Each four consecutive endpoints share a cell and a zone.
         let list = |range: std::ops::Range<usize>| {
             let entry = |n: usize| EndpointEntry {
                 cell: n as u64 / 4,
@@ -211,10 +222,10 @@
             actions.extend(gateway.reply_total(key, 1.0));
         }
         let (_, chosen) = forwarded(&actions).expect("an attempt");
-        let next =
+        let retried =
             forwarded(&gateway.end_attempt(1, 0, &chosen, Outcome::ConnectionReset)).expect("a retry").1;
         let cell = |name: &Name| name[1..].parse::<usize>().expect("a number") / 4;
 
-        assert_eq!(cell(&chosen), cell(&next), "{dedup_scope:?}");
+        assert_eq!(cell(&chosen), cell(&retried), "{dedup_scope:?}");
     }
 }
