--- a/policy/src/load_balancer.rs
+++ b/policy/src/load_balancer.rs
@@ -2,10 +2,10 @@
 //!
 //! Load should spread evenly over the endpoints, although each gateway sees only its own attempts. A gateway
 //! chooses from a sample of its subset, and from the standby endpoints only if no endpoint of the sample can
-//! take the attempt. Endpoints that are ejected or at their concurrency limit are skipped. Among the others,
-//! the choice is by fewest attempts in flight, weighted by zone (weighted least-request balancing). In a
-//! large fleet the choice is random, weighted by attempts in flight and by the queue lengths that endpoints
-//! report. An endpoint in slow start comes before all others if the request's random draw permits it.
+//! take the attempt. Endpoints that are ejected or at their concurrency limit are skipped. Of the others,
+//! the one with the fewest attempts in flight is chosen, weighted by zone (weighted least-request balancing).
+//! In a large fleet the choice is random, weighted by zone, attempts in flight and reported queue lengths.
+//! An endpoint in slow start comes before all others if the request's random draw permits it.
 
 use crate::concurrency_limit::is_large_fleet;
 use crate::endpoint::Endpoint;
--- a/policy/src/outlier_detection.rs
+++ b/policy/src/outlier_detection.rs
@@ -2,9 +2,11 @@
 //!
 //! Crashed or stalled endpoints show in the outcomes of attempts long before the endpoint list reports them.
 //! An ejection lasts at least as long as the failed attempt took, because an endpoint that does not stop
-//! cancelled work still has to finish it, and longer with each consecutive failure. Single connection resets
-//! do not count, as they say little about the endpoint: idle connections go stale, and the network resets
-//! others. An endpoint that has crashed refuses the next connection, which does not lose a request.
+//! cancelled work still has to finish it, and longer with each consecutive failure.
+//!
+//! The first consecutive connection resets do not count, as they say little about the endpoint: idle
+//! connections go stale, and the network resets others. An endpoint that has crashed refuses the next
+//! connection, which does not lose a request.
 
 use crate::{Millis, Outcome};
 
--- a/policy/src/slow_start.rs
+++ b/policy/src/slow_start.rs
@@ -6,9 +6,9 @@
 
 use crate::{Millis, Settings};
 
-/// An endpoint in slow start gets an even share of all requests, times its capacity fraction, times this
-/// factor plus the capacity fraction. The margin shrinks as capacity rises, because random variation of the
-/// load then matters less.
+/// At a capacity fraction `c`, an endpoint in slow start gets `c * (c + INITIAL_SHARE_FACTOR)` of an even
+/// share of all requests, and never more than an even share. The factor on `c` rises with the capacity,
+/// because random variation of the load then matters less.
 const INITIAL_SHARE_FACTOR: f64 = 0.75;
 
 /// A lower bound of the clock that start times are reported by, derived from the reports themselves: when a
