--- a/policy/src/load_balancer.rs
+++ b/policy/src/load_balancer.rs
@@ -62,8 +62,10 @@
         let subset = self.endpoints.subset();
         // The same for all choices of a request.
         let request_hash = mix(self.seed ^ id);
-        let draws =
-            RandomDraws { choice: choice_draw, slow_start: request.is_fresh().then_some(request_hash) };
+        let draws = RandomDraws {
+            choice: choice_draw,
+            slow_start: request.is_first_attempt().then_some(request_hash),
+        };
         let pool_size = subset.ready_count() as f64;
         let candidate = |slot| Candidate { slot, pool_size };
         let ambiguous_attempt = request.first_ambiguous_attempt.as_ref();
--- a/policy/src/request.rs
+++ b/policy/src/request.rs
@@ -1,4 +1,4 @@
-//! The requests in progress.
+//! The state of requests that have not had their final response.
 
 use crate::endpoint::Endpoint;
 use crate::quota::QuotaRequest;
@@ -6,57 +6,59 @@
 use crate::{Arrival, AttemptEnd, Millis, Name, Outcome, RequestId};
 use std::collections::BTreeMap;
 
-/// Stands for the cell of an endpoint that is no longer known: no endpoint is in it.
+/// Placeholder for the cell of an endpoint that is no longer known. No endpoint belongs to this cell.
 const UNKNOWN_CELL: u64 = u64::MAX;
 
-/// What a request counts as whose number of units makes no sense.
+/// The cost of a request whose number of units is infinite or not a number.
 const DEFAULT_UNITS: f64 = 1.0;
 
-/// What a request waits for.
+/// The stage of a request between its arrival and its final response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RequestStage {
-    /// A reply of the counter.
-    Quota,
-    /// An endpoint with capacity.
-    Capacity,
-    /// The end of the attempt in flight.
-    Attempt,
+    /// It waits for a reply from the counter.
+    AwaitingQuota,
+    /// It is admitted and waits for an endpoint with capacity.
+    AwaitingEndpoint,
+    /// It has an attempt in flight.
+    InFlight,
 }
 
-/// The first attempt of a request that may have run.
+/// An attempt that was not served but may have run at its endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct AmbiguousAttempt {
-    /// When it was forwarded.
+    /// When the attempt was forwarded.
     pub(crate) sent_at: Millis,
-    /// The zone of its endpoint.
+    /// The zone of its endpoint, empty if the endpoint is no longer known.
     pub(crate) zone: Name,
-    /// The cell of its endpoint.
+    /// The cell of its endpoint, [`UNKNOWN_CELL`] if the endpoint is no longer known.
     pub(crate) cell: u64,
 }
 
-/// A request without a final answer.
+/// A request that has not had its final response.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) tenant: Name,
     pub(crate) plan: PlanIndex,
     pub(crate) class: ClassIndex,
     pub(crate) units: f64,
-    /// Whether the client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub(crate) client_retry: bool,
     pub(crate) arrived_at: Millis,
     pub(crate) deadline: Millis,
     pub(crate) stage: RequestStage,
-    /// When it stops waiting in its present stage.
+    /// When the wait in the current stage times out.
     pub(crate) wait_until: Millis,
-    /// Attempts so far.
+    /// The number of attempts forwarded so far.
     pub(crate) attempts: u32,
     /// When the last attempt was forwarded.
     pub(crate) sent_at: Millis,
+    /// The first attempt that may have run. It determines the dedup scope and window of a
+    /// keyed request's retries.
     pub(crate) first_ambiguous_attempt: Option<AmbiguousAttempt>,
 }
 
 impl Request {
-    /// Returns a request that arrives now.
+    /// Creates the state of a request that arrives at time `now`.
     pub(crate) fn new(arrival: &Arrival, plan: PlanIndex, class: ClassIndex, now: Millis) -> Self {
         Self {
             tenant: arrival.tenant.clone(),
@@ -66,7 +68,7 @@
             client_retry: arrival.client_retry,
             arrived_at: now,
             deadline: now + arrival.time_to_deadline,
-            stage: RequestStage::Quota,
+            stage: RequestStage::AwaitingQuota,
             wait_until: 0.0,
             attempts: 0,
             sent_at: 0.0,
@@ -74,22 +76,22 @@
         }
     }
 
-    /// Returns whether no attempt of the request has been forwarded yet.
-    pub(crate) fn is_fresh(&self) -> bool {
+    /// Returns whether the next attempt is the first: none has been forwarded yet.
+    pub(crate) fn is_first_attempt(&self) -> bool {
         self.attempts == 0
     }
 
-    /// Notes that an attempt is forwarded now.
+    /// Records that an attempt is forwarded at time `now`.
     pub(crate) fn attempt_forwarded(&mut self, now: Millis) {
-        self.stage = RequestStage::Attempt;
+        self.stage = RequestStage::InFlight;
         self.sent_at = now;
         self.attempts += 1;
     }
 
-    /// Notes that an attempt ended without a final answer. `endpoint` is where it was sent, if that is still
-    /// known.
+    /// Records that an attempt ended without a final response. `endpoint` is the endpoint that it was sent
+    /// to, if that is still known.
     pub(crate) fn attempt_ended(&mut self, end: &AttemptEnd, endpoint: Option<&Endpoint>) {
-        self.stage = RequestStage::Capacity;
+        self.stage = RequestStage::AwaitingEndpoint;
         if !may_have_run(end.outcome) || self.first_ambiguous_attempt.is_some() {
             return;
         }
@@ -100,8 +102,8 @@
         });
     }
 
-    /// Returns what the quota gate needs to know of the request.
-    pub(crate) fn for_quota(&self, id: RequestId) -> QuotaRequest {
+    /// Returns the data that the quota gate needs to decide on the request.
+    pub(crate) fn quota_request(&self, id: RequestId) -> QuotaRequest {
         QuotaRequest {
             id,
             tenant: self.tenant.clone(),
@@ -112,10 +114,10 @@
     }
 }
 
-/// Returns whether an attempt that ended so may have run.
+/// Returns whether an attempt with this outcome may have run at the endpoint.
 fn may_have_run(outcome: Outcome) -> bool {
     !matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
 }
 
-/// All requests in progress, by their number.
+/// The requests without a final response, by request ID.
 pub(crate) type RequestTable = BTreeMap<RequestId, Request>;
