--- a/policy/src/action.rs
+++ b/policy/src/action.rs
@@ -1,67 +1,69 @@
-//! What a gateway asks its host to do.
+//! The actions that the policy engine requests from its host.
 
 use crate::{Millis, Name, RequestId};
 
-/// Something that the host is to do at once.
+/// An action that the host must perform immediately.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Forward an attempt of a request to an endpoint.
     ForwardAttempt {
-        /// The request.
+        /// The request ID.
         id: RequestId,
-        /// Where to.
+        /// The name of the endpoint.
         endpoint: Name,
-        /// The attempt's timeout; `None` for the client's deadline.
+        /// The timeout of the attempt. `None` means that only the client's deadline applies.
         timeout: Option<Millis>,
-        /// The attempt is abandoned unless its last byte is written within this time; `None` for no limit.
+        /// The time within which the last byte of the request must be written, or else the attempt is
+        /// abandoned. `None` means no limit.
         write_timeout: Option<Millis>,
     },
-    /// Final answer: rejected, with the promise that a retry is harmless.
+    /// Reject a request as its final response. The rejection tells the client that a retry is safe.
     Reject {
-        /// The request.
+        /// The request ID.
         id: RequestId,
-        /// How long the client should wait before it retries.
+        /// The time that the client should wait before it retries.
         retry_after: Millis,
     },
-    /// Final answer: failed, with no promise.
+    /// Fail a request as its final response. The client is not told whether a retry is safe.
     Fail {
-        /// The request.
+        /// The request ID.
         id: RequestId,
     },
     /// Cancel an attempt.
     CancelAttempt {
-        /// The request.
+        /// The request ID.
         id: RequestId,
-        /// The number of the attempt.
+        /// The index of the attempt, starting at 0.
         attempt: u32,
     },
     /// Set a timer.
     SetTimer {
-        /// How long from now.
+        /// The time from now until the timer expires.
         after: Millis,
-        /// The token that comes back with [`Event::Timer`](crate::Event::Timer).
+        /// The token to pass in [`Event::Timer`](crate::Event::Timer) when the timer expires.
         token: u64,
     },
     /// Send a health check to an endpoint.
     HealthCheck {
-        /// The endpoint.
+        /// The name of the endpoint.
         endpoint: Name,
     },
-    /// Add to a shared counter and return its total.
+    /// Add an amount to a key of the shared counter and report the result with
+    /// [`Event::CounterReply`](crate::Event::CounterReply).
     IncrementCounter {
         /// The counter key, below 2^63.
         key: u64,
-        /// What to add.
+        /// The amount to add.
         amount: f64,
-        /// How long a new key is kept.
+        /// The time after which a key created by this call expires.
         ttl: Millis,
     },
     /// Send a message to all other gateways.
     Gossip {
-        /// The message.
+        /// The content of the message.
         bytes: Vec<u8>,
     },
-    /// Watch the endpoint list from now on.
+    /// Start watching the endpoint list.
     WatchEndpoints,
     /// Write a line to the log.
     Log(String),
--- a/policy/src/event.rs
+++ b/policy/src/event.rs
@@ -1,212 +1,217 @@
-//! What a gateway is notified of.
+//! The events that a host passes to the policy engine.
 
 use crate::{Millis, Name, RequestId};
 
-/// A host reports a pause of its process that is at least this long. Shorter ones happen on a busy machine.
+/// The shortest pause of the process that a host reports with [`Event::ProcessResumed`]. Shorter pauses are
+/// common on a busy machine.
 pub const MIN_REPORTED_PAUSE: Millis = 250.0;
 
-/// Something that happened, passed to [`PolicyEngine::handle`](crate::PolicyEngine::handle).
+/// An event for [`PolicyEngine::handle`](crate::PolicyEngine::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A complete endpoint list; endpoints that are missing from it are removed.
+    /// A complete endpoint list was received. Endpoints that are not in it are removed.
     EndpointSnapshot(Vec<EndpointEntry>),
-    /// Changes to the endpoint list.
+    /// Changes to the endpoint list were received.
     EndpointDelta(Vec<EndpointEntry>),
-    /// A call for the endpoint list failed.
+    /// A request to discovery for the endpoint list failed.
     EndpointListFailed,
-    /// A request arrived.
+    /// A client request arrived.
     RequestArrived(Arrival),
-    /// A stream began on an attempt; it belongs to the client from now on.
+    /// An attempt started to stream its response, which is passed through to the client from then on.
     StreamStarted {
-        /// The request.
+        /// The request ID.
         id: RequestId,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// A health check ended.
     HealthCheckEnded {
-        /// The endpoint.
+        /// The name of the endpoint.
         endpoint: Name,
-        /// How it ended.
+        /// The outcome of the health check.
         outcome: Outcome,
-        /// How long it took.
+        /// The duration of the health check.
         latency: Millis,
-        /// The load report that came with it, if there was one.
+        /// The load report in the response, if any.
         load_report: Option<LoadReport>,
     },
-    /// The client disconnected; the request is over.
+    /// The client disconnected. The request needs no final response.
     ClientDisconnected {
-        /// The request.
+        /// The request ID.
         id: RequestId,
     },
     /// A timer expired.
     Timer {
-        /// The token given when it was set.
+        /// The token passed in [`Action::SetTimer`](crate::Action::SetTimer).
         token: u64,
     },
     /// A counter call ended.
     CounterReply {
         /// The counter key.
         key: u64,
-        /// How the call ended.
+        /// The result of the call.
         result: CounterResult,
-        /// How long it took.
+        /// The duration of the call.
         latency: Millis,
     },
-    /// What is known of the clock that the fleet shares. Until a host reports it, it is the host's own clock.
+    /// The state of the fleet's shared clock changed. The host's own clock is used until the first
+    /// such event.
     FleetClock {
-        /// The fleet's time.
+        /// The new state.
         time: FleetTime,
     },
-    /// The counts that the fleet has kept until now cannot be found any more, as no gateway is left that knows
-    /// under which times they were kept.
+    /// The fleet's earlier counts can no longer be found. Counter keys are derived from the fleet's clock,
+    /// and no gateway is left that knows from which times the earlier keys were derived.
     CountsLost,
-    /// The process goes on after a pause of [`MIN_REPORTED_PAUSE`] or more: it was stopped, or got no processor
-    /// time. What other gateways did meanwhile is not known.
+    /// The process resumed after a pause of at least [`MIN_REPORTED_PAUSE`], because it was stopped or got no
+    /// CPU time. What other gateways did during the pause is unknown.
     ProcessResumed,
-    /// A graceful shutdown started: no more requests arrive.
+    /// A graceful shutdown started. No more requests will arrive.
     DrainStarted,
-    /// A message from another gateway.
+    /// A gossip message from another gateway was received.
     GossipReceived {
-        /// The sender's gateway index.
+        /// The gateway index of the sender.
         from: u32,
-        /// The message.
+        /// The content of the message.
         bytes: Vec<u8>,
     },
 }
 
-/// The state of an endpoint by the endpoint list.
+/// The state of an endpoint according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It accepts requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// It finishes the requests that it has and must be sent no new ones.
+    /// The endpoint finishes the requests in progress and must not be sent new ones.
     Draining,
-    /// It does not exist any more.
+    /// The endpoint no longer exists.
     Removed,
 }
 
-/// One entry of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
-    /// The endpoint's name, the same at all gateways.
+    /// The name of the endpoint, the same at all gateways.
     pub name: Name,
-    /// Its zone.
+    /// The zone of the endpoint.
     pub zone: Name,
-    /// Its cell.
+    /// The cell of the endpoint.
     pub cell: u64,
-    /// Its state.
+    /// The state of the endpoint.
     pub state: EndpointState,
-    /// When it last started, where that is known.
+    /// The time at which the endpoint last started, if known.
     pub started_at: Option<Millis>,
 }
 
-/// An endpoint's report of its own load; each value only where the deployment has it.
+/// A report by an endpoint of its own load. Values that the deployment does not provide are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight there.
+    /// The number of requests in flight at the endpoint.
     pub in_flight: Option<f64>,
-    /// Requests that wait there.
+    /// The number of requests queued at the endpoint.
     pub queue_length: Option<f64>,
-    /// Its recent service time, without waiting.
+    /// The recent service time at the endpoint, without time spent in its queue.
     pub service_time: Option<Millis>,
 }
 
-/// A request that arrived.
+/// A client request that arrived.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The host's number for it; never used twice.
+    /// The ID that the host assigned to the request. IDs are never reused.
     pub id: RequestId,
-    /// Whose quota it uses.
+    /// The tenant whose quota the request uses.
     pub tenant: Name,
-    /// The tenant's quota plan.
+    /// The name of the tenant's quota plan.
     pub plan: Name,
-    /// Its request class.
+    /// The name of the request class.
     pub class: Name,
-    /// The units it uses, or an estimate of them.
+    /// The number of quota units that the request uses, or an estimate.
     pub units: f64,
-    /// Whether the client marks it as a retry.
+    /// Whether the client marked the request as a retry.
     pub client_retry: bool,
-    /// How long until the client gives up.
+    /// The time left until the client's deadline.
     pub time_to_deadline: Millis,
     /// The index of the first gateway that serves the tenant; the others follow it in order, wrapping around.
     pub first_gateway: u32,
-    /// How many gateways serve the tenant.
+    /// The number of gateways that serve the tenant.
     pub gateways_per_tenant: u32,
 }
 
-/// How an attempt or a health check ended.
+/// The outcome of an attempt or a health check.
+///
+/// An attempt that may have run at the endpoint can be retried only as far as its request class allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was served.
+    /// The endpoint served it.
     Served,
-    /// The endpoint responded with an error; it may have run.
+    /// The endpoint responded with an error. The attempt may have run.
     Error,
-    /// The endpoint rejected it; it never ran.
+    /// The endpoint rejected it. The attempt did not run.
     Rejected,
-    /// No response in time; it may have run or may still run.
+    /// No response arrived before the timeout. The attempt may have run or may still be running.
     TimedOut,
-    /// No connection came up; it never ran.
+    /// No connection could be established. The attempt did not run.
     ConnectFailed,
-    /// The connection was reset; it may have run.
+    /// The connection was reset. The attempt may have run.
     ConnectionReset,
-    /// It was cancelled; it may have run.
+    /// It was cancelled. The attempt may have run.
     Cancelled,
-    /// It was never sent.
+    /// It was not sent. The attempt did not run.
     NotSent,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
-    /// The request.
+    /// The request ID.
     pub id: RequestId,
-    /// The number of the attempt, from 0.
+    /// The index of the attempt, starting at 0.
     pub attempt: u32,
-    /// Where it was sent.
+    /// The name of the endpoint that it was sent to.
     pub endpoint: Name,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// How long it was in flight.
+    /// The time for which the attempt was in flight.
     pub latency: Millis,
-    /// The units that it really used, where they come with the response.
+    /// The number of units that the attempt actually used, if the response states it.
     pub actual_units: Option<f64>,
-    /// Whether the request has had its final answer.
+    /// Whether the request has already had its final response.
     pub request_finished: bool,
-    /// The load report that came with it, if there was one.
+    /// The load report in the response, if any.
     pub load_report: Option<LoadReport>,
 }
 
-/// How a counter call ended.
+/// The result of a counter call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CounterResult {
-    /// The total after the add.
+    /// The amount was added. Holds the new total of the key.
     Total(f64),
     /// Nothing was added.
     NotAdded,
-    /// No reply in time; the amount may have been added.
+    /// No reply arrived before the timeout. The amount may have been added.
     Unknown,
 }
 
-/// What a host knows of the clock that all gateways share.
+/// The state of the fleet's shared clock as known to a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FleetTime {
-    /// The first reply of the counter is awaited; until then the policy makes no counter calls.
+    /// The host waits for the first reply from the counter. Until it arrives, the policy makes no counter
+    /// calls.
     Pending,
-    /// The counter has not replied, and its reply is not awaited: the host's own clock is used.
+    /// The counter has not replied, and the host no longer waits for it. The host's own clock is used.
     Unavailable,
-    /// The fleet has a clock other than the host's own, and its offset is not yet known well enough to derive
+    /// The fleet's clock differs from the host's own. Its offset is not yet known accurately enough to derive
     /// counter keys from it.
     Converging,
-    /// The offset is known.
+    /// The offset of the fleet's clock is known.
     Synchronized {
-        /// How far the fleet's clock is ahead of the host's; negative if it is behind.
+        /// The fleet's time minus the host's time.
         offset: Millis,
     },
 }
 
 impl FleetTime {
-    /// Returns whether the offset is known.
+    /// Returns whether the offset of the fleet's clock is known.
     pub(crate) fn is_synchronized(self) -> bool {
         matches!(self, Self::Synchronized { .. })
     }
