--- a/policy/tests/retry.rs
+++ b/policy/tests/retry.rs
@@ -1,86 +1,95 @@
-//! Retries: one final answer in time, retries only as the class allows, never two attempts in flight.
+//! Retries: each request has exactly one final response by its deadline, is retried only as its class allows,
+//! and never has two attempts in flight.
 
 mod common;
 use common::*;
 use ryefront_policy::*;
 
 #[test]
-fn attempt_that_surely_never_ran_is_retried_elsewhere_for_every_class() {
+fn attempt_that_never_ran_is_retried_on_another_endpoint_for_every_class() {
     for class in ["idempotent", "keyed", "non_idempotent"] {
         for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
             let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
 
-            let chosen = gateway.forward_request(1, "c", "plain", class);
-            let actions = gateway.end_attempt(1, 0, &chosen, outcome);
+            let first_endpoint = gateway.forward_request(1, "c", "plain", class);
+            let actions = gateway.end_attempt(1, 0, &first_endpoint, outcome);
 
-            assert!(forwarded(&actions).is_some_and(|(_, next)| next != chosen), "{class} {outcome:?}");
+            assert!(
+                forwarded(&actions).is_some_and(|(_, second_endpoint)| second_endpoint != first_endpoint),
+                "{class} {outcome:?}"
+            );
         }
     }
 }
 
 #[test]
-fn non_idempotent_request_that_may_have_run_fails() {
+fn non_idempotent_request_that_may_have_run_fails_without_a_retry() {
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::ConnectionReset, Outcome::Cancelled] {
         let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
 
-        let chosen = gateway.forward_request(1, "c", "plain", "non_idempotent");
+        let first_endpoint = gateway.forward_request(1, "c", "plain", "non_idempotent");
         let actions = gateway.advance(900.0, &[1]);
 
         assert!(
             !actions.iter().any(|action| matches!(action, Action::CancelAttempt { .. })),
-            "the timer of an earlier wait changes nothing"
+            "the timer of an earlier wait must not cancel the attempt"
         );
 
-        let actions = gateway.end_attempt(1, 0, &chosen, outcome);
+        let actions = gateway.end_attempt(1, 0, &first_endpoint, outcome);
 
         assert!(is_failed(&actions, 1) && forward_count(&actions) == 0, "{outcome:?}: {actions:?}");
     }
 }
 
 #[test]
-fn keyed_retry_stays_in_its_dedup_scope_and_window() {
+fn keyed_request_is_retried_only_within_its_dedup_scope_and_window() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "b1", "b2", "b3"]);
 
-    let chosen = gateway.forward_request(1, "c", "plain", "keyed");
-    let cell = if chosen.starts_with('a') { 'a' } else { 'b' };
-    let (_, next) =
-        forwarded(&gateway.end_attempt(1, 0, &chosen, Outcome::ConnectionReset)).expect("a retry");
+    let first_endpoint = gateway.forward_request(1, "c", "plain", "keyed");
+    let cell = if first_endpoint.starts_with('a') { 'a' } else { 'b' };
+    let (_, second_endpoint) =
+        forwarded(&gateway.end_attempt(1, 0, &first_endpoint, Outcome::ConnectionReset)).expect("a retry");
 
-    assert!(next.starts_with(cell));
+    assert!(second_endpoint.starts_with(cell));
 
     gateway.now += 4000.0;
-    let actions = gateway.end_attempt(1, 1, &next, Outcome::ConnectionReset);
+    let actions = gateway.end_attempt(1, 1, &second_endpoint, Outcome::ConnectionReset);
 
     assert!(
         forward_count(&actions) == 0 && is_failed(&actions, 1),
-        "the dedup window has ended: {actions:?}"
+        "no retry may follow the end of the dedup window: {actions:?}"
     );
 }
 
 #[test]
-fn keyed_retry_follows_an_endpoint_to_its_new_cell() {
+fn keyed_retry_uses_the_current_cell_of_a_moved_endpoint() {
     let mut gateway = TestGateway::new(settings(), &["a1", "b1", "b2"]);
-    // The same process, listed in the other cell from now on.
+    // The endpoint list moves the running process b2 to the cell of a1.
     let moved = EndpointEntry { cell: 0, ..endpoint("b2", EndpointState::Ready, None) };
     gateway.handle(Event::EndpointDelta(vec![moved]));
 
-    let mut used = std::collections::BTreeSet::new();
+    let mut first_endpoints = std::collections::BTreeSet::new();
     for id in 1..60 {
-        let chosen = gateway.forward_request(id, &format!("c{id}"), "plain", "keyed");
-        let (_, next) = forwarded(&gateway.end_attempt(id, 0, &chosen, Outcome::Error)).expect("a retry");
-        assert_eq!(&*chosen == "b1", &*next == "b1", "from {chosen} to {next}");
-        gateway.end_attempt(id, 1, &next, Outcome::Served);
-        used.insert(chosen);
+        let first_endpoint = gateway.forward_request(id, &format!("c{id}"), "plain", "keyed");
+        let (_, second_endpoint) =
+            forwarded(&gateway.end_attempt(id, 0, &first_endpoint, Outcome::Error)).expect("a retry");
+        assert_eq!(
+            &*first_endpoint == "b1",
+            &*second_endpoint == "b1",
+            "from {first_endpoint} to {second_endpoint}"
+        );
+        gateway.end_attempt(id, 1, &second_endpoint, Outcome::Served);
+        first_endpoints.insert(first_endpoint);
     }
 
-    assert_eq!(used.len(), 3, "{used:?}");
+    assert_eq!(first_endpoints.len(), 3, "{first_endpoints:?}");
 }
 
 #[test]
-fn attempt_is_not_cancelled_before_its_outcome() {
+fn attempt_in_flight_is_neither_cancelled_nor_repeated() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
 
-    let chosen = gateway.forward_request(1, "c", "plain", "idempotent");
+    let first_endpoint = gateway.forward_request(1, "c", "plain", "idempotent");
     for _ in 0..4 {
         let actions = gateway.advance(450.0, &[1]);
         assert!(
@@ -90,30 +99,33 @@
             "{actions:?}"
         );
     }
-    let actions = gateway.end_attempt(1, 0, &chosen, Outcome::ConnectionReset);
+    let actions = gateway.end_attempt(1, 0, &first_endpoint, Outcome::ConnectionReset);
 
-    assert!(forwarded(&actions).is_some_and(|(_, next)| next != chosen), "{actions:?}");
+    assert!(
+        forwarded(&actions).is_some_and(|(_, second_endpoint)| second_endpoint != first_endpoint),
+        "{actions:?}"
+    );
 }
 
 #[test]
-fn final_answer_is_given_at_the_deadline_once() {
+fn final_response_is_sent_once_at_the_deadline() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
 
-    let chosen = gateway.forward_request(1, "c", "plain", "idempotent");
+    let first_endpoint = gateway.forward_request(1, "c", "plain", "idempotent");
     gateway.now += 2000.0;
-    let actions = gateway.end_attempt(1, 0, &chosen, Outcome::TimedOut);
+    let actions = gateway.end_attempt(1, 0, &first_endpoint, Outcome::TimedOut);
 
     assert!(is_failed(&actions, 1) && forward_count(&actions) == 0);
     assert!(
         gateway
-            .end_attempt(1, 0, &chosen, Outcome::TimedOut)
+            .end_attempt(1, 0, &first_endpoint, Outcome::TimedOut)
             .iter()
             .all(|a| !matches!(a, Action::Fail { .. }))
     );
 }
 
 #[test]
-fn request_without_an_endpoint_waits_and_is_rejected_once() {
+fn request_without_an_available_endpoint_is_rejected_once_after_waiting() {
     let mut gateway = TestGateway::new(settings(), &[]);
 
     let CounterCall { key, amount } =
@@ -126,7 +138,7 @@
 }
 
 #[test]
-fn disconnected_client_gets_no_answer() {
+fn request_of_a_disconnected_client_has_no_final_response() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
 
     let CounterCall { key, amount } =
@@ -136,14 +148,14 @@
 
     assert!(forward_count(&actions) == 0 && !is_rejected(&actions, 1) && !is_failed(&actions, 1));
 
-    let chosen = gateway.forward_request(2, "c", "plain", "idempotent");
+    let first_endpoint = gateway.forward_request(2, "c", "plain", "idempotent");
     gateway.handle(Event::ClientDisconnected { id: 2 });
 
-    assert_eq!(forward_count(&gateway.end_attempt(2, 0, &chosen, Outcome::ConnectionReset)), 0);
+    assert_eq!(forward_count(&gateway.end_attempt(2, 0, &first_endpoint, Outcome::ConnectionReset)), 0);
 }
 
 #[test]
-fn events_about_unknown_names_are_harmless() {
+fn unknown_ids_are_ignored_and_invalid_arrivals_are_handled() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
 
     gateway.end_attempt(9, 3, &"nowhere".into(), Outcome::Served);
@@ -167,37 +179,39 @@
 }
 
 #[test]
-fn idempotent_request_is_not_forwarded_a_third_time_after_two_ambiguous_attempts() {
+fn idempotent_request_is_rejected_after_two_attempts_that_may_have_run() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
 
-    let chosen = gateway.forward_request(1, "c", "plain", "idempotent");
-    let (_, next) = forwarded(&gateway.end_attempt(1, 0, &chosen, Outcome::Cancelled)).expect("one retry");
+    let first_endpoint = gateway.forward_request(1, "c", "plain", "idempotent");
+    let (_, second_endpoint) =
+        forwarded(&gateway.end_attempt(1, 0, &first_endpoint, Outcome::Cancelled)).expect("one retry");
     let actions = gateway.advance(900.0, &[1]);
 
     assert!(
         !actions.iter().any(|action| matches!(action, Action::CancelAttempt { .. })),
-        "the retry is not cancelled"
+        "the retry must not be cancelled"
     );
 
-    let actions = gateway.end_attempt(1, 1, &next, Outcome::ConnectionReset);
+    let actions = gateway.end_attempt(1, 1, &second_endpoint, Outcome::ConnectionReset);
 
     assert!(forward_count(&actions) == 0 && is_rejected(&actions, 1), "{actions:?}");
 }
 
 #[test]
-fn waiting_keyed_retry_is_abandoned_before_its_dedup_window_ends() {
+fn queued_keyed_retry_fails_before_its_dedup_window_ends() {
     let mut settings = settings();
-    // A dedup window of 1 s, of which a connection may take a quarter; the request waits for up to 3 s.
+    // The dedup window is 1 s, of which connecting may take 250 ms. The latency objective of 10 s would let
+    // the request wait for an endpoint for 3 s.
     (settings.classes[1].dedup_window, settings.classes[1].latency_objective, settings.connect_timeout) =
         (1000.0, 10_000.0, 250.0);
     let mut gateway = TestGateway::new(settings, &["a1"]);
 
-    let chosen = gateway.forward_request(1, "c", "plain", "keyed");
+    let first_endpoint = gateway.forward_request(1, "c", "plain", "keyed");
     gateway.now += 700.0;
-    // No endpoint of its dedup scope has capacity: the only one has just failed.
-    let actions = gateway.end_attempt(1, 0, &chosen, Outcome::Error);
+    // The only endpoint in the dedup scope has just failed, so none has capacity.
+    let actions = gateway.end_attempt(1, 0, &first_endpoint, Outcome::Error);
     let actions = if forward_count(&actions) == 1 {
-        gateway.end_attempt(1, 1, &chosen, Outcome::TimedOut)
+        gateway.end_attempt(1, 1, &first_endpoint, Outcome::TimedOut)
     } else {
         actions
     };
@@ -208,7 +222,7 @@
 
     assert!(
         is_failed(&actions, 1) && forward_count(&actions) == 0,
-        "neither rejected nor forwarded to run twice: {actions:?}"
+        "a rejection or another attempt could make it run twice: {actions:?}"
     );
 
     gateway.handle(Event::EndpointDelta(vec![endpoint("a2", EndpointState::Ready, None)]));
@@ -221,9 +235,9 @@
 }
 
 #[test]
-fn request_that_waits_past_its_tenant_s_idle_time_is_answered() {
-    // Two refill periods are 2 s. The first attempt takes nearly as long; then the only endpoint is ejected
-    // for a while.
+fn request_that_waits_longer_than_its_tenant_s_idle_time_is_not_lost() {
+    // An idle tenant is dropped after two refill periods, 2 s here. The first attempt takes 1.9 s, and the
+    // wait while the only endpoint is ejected takes the request past 2 s.
     let mut settings = settings();
     (settings.plans[0].rate, settings.plans[0].burst) = (5.0, 5.0);
     let mut gateway = TestGateway::new(settings, &["a1"]);
@@ -235,9 +249,9 @@
 
     let CounterCall { key, amount } =
         counter_call(&gateway.handle(Event::RequestArrived(arrival))).expect("a counter call");
-    let chosen = forwarded(&gateway.reply_total(key, amount)).expect("forwarded").1;
+    let first_endpoint = forwarded(&gateway.reply_total(key, amount)).expect("forwarded").1;
     gateway.now += 1900.0;
-    let actions = gateway.end_attempt_after(1900.0, 1, 0, &chosen, Outcome::ConnectFailed);
+    let actions = gateway.end_attempt_after(1900.0, 1, 0, &first_endpoint, Outcome::ConnectFailed);
 
     assert!(
         forward_count(&actions) == 0 && !is_rejected(&actions, 1) && !is_failed(&actions, 1),
@@ -246,13 +260,13 @@
 
     gateway.advance(150.0, &[]);
     let actions = gateway.handle(Event::EndpointDelta(vec![endpoint("a2", EndpointState::Ready, None)]));
-    let chosen = forwarded(&actions).expect("forwarded").1;
-    let actions = gateway.end_attempt(1, 1, &chosen, Outcome::Rejected);
+    let second_endpoint = forwarded(&actions).expect("forwarded").1;
+    let actions = gateway.end_attempt(1, 1, &second_endpoint, Outcome::Rejected);
     let later = gateway.advance(300.0, &[1]);
     let actions = [actions, later].concat();
 
     assert!(
         forward_count(&actions) == 1 || is_rejected(&actions, 1) || is_failed(&actions, 1),
-        "no answer: {actions:?}"
+        "no final response and no retry: {actions:?}"
     );
 }
