--- a/policy/src/quota/ceiling.rs
+++ b/policy/src/quota/ceiling.rs
@@ -9,7 +9,7 @@
 /// Quotas stay below the ceiling by this factor, in rate and burst.
 const CEILING_HEADROOM: f64 = 1.6;
 /// Under a ceiling, a tenant without a reading starts with this fraction of its burst.
-const INITIAL_FRACTION: f64 = 0.5;
+const INITIAL_BURST_FRACTION: f64 = 0.5;
 
 /// Returns the plan that is granted: under a ceiling no more than holds it, even if the plan itself grants
 /// more or names no rate.
@@ -30,5 +30,5 @@
 /// Under a ceiling that is half of the burst: a gateway may restart and find an empty count while the others
 /// have just granted a full burst, and one and a half bursts are within the ceiling.
 pub(crate) fn initial_quota(plan: &QuotaPlan) -> f64 {
-    if plan.ceiling_rate > 0.0 { plan.burst * INITIAL_FRACTION } else { plan.burst }
+    if plan.ceiling_rate > 0.0 { plan.burst * INITIAL_BURST_FRACTION } else { plan.burst }
 }
--- a/policy/src/quota/counter_calls.rs
+++ b/policy/src/quota/counter_calls.rs
@@ -58,7 +58,7 @@
     has_counter: bool,
     timeout: Millis,
     /// A reply within this time is fast.
-    fast_reply: Millis,
+    fast_reply_latency: Millis,
 }
 
 impl CounterCalls {
@@ -74,7 +74,7 @@
             unavailability_logged: false,
             has_counter: settings.has_counter,
             timeout: settings.counter_timeout,
-            fast_reply: waits.fold(f64::INFINITY, f64::min) * FAST_REPLY_FRACTION,
+            fast_reply_latency: waits.fold(f64::INFINITY, f64::min) * FAST_REPLY_FRACTION,
         }
     }
 
@@ -120,12 +120,12 @@
     }
 
     /// Notes a call for a tenant.
-    pub(crate) fn started(&mut self, key: u64, tenant: Name, kind: CallKind) {
+    pub(crate) fn call_started(&mut self, key: u64, tenant: Name, kind: CallKind) {
         self.in_flight_by_key.insert(key, CallInFlight { tenant, kind });
     }
 
     /// Notes the end of a call, and returns what it was.
-    pub(crate) fn ended(
+    pub(crate) fn call_ended(
         &mut self, key: u64, result: CounterResult, latency: Millis, now: Millis,
     ) -> Option<CallInFlight> {
         let call = self.in_flight_by_key.remove(&key)?;
@@ -134,7 +134,7 @@
             return Some(call);
         }
         let slowness = match result {
-            CounterResult::Total(_) => latency / self.fast_reply,
+            CounterResult::Total(_) => latency / self.fast_reply_latency,
             CounterResult::NotAdded | CounterResult::Unknown => f64::INFINITY,
         };
         let step = CALL_RATIO_STEP * (1.0 - slowness).max(-MAX_DECREASE_FACTOR);
--- a/policy/src/quota/fallback.rs
+++ b/policy/src/quota/fallback.rs
@@ -34,9 +34,9 @@
     pub(crate) fn spend(&mut self, units: f64, share: QuotaShare<'_>, now: Millis) -> bool {
         let plan = share.plan;
         let refilled = self.units + plan.rate * (now - self.updated_at) / 1000.0 / share.gateways;
-        let held = refilled.min((plan.burst / share.gateways).max(units));
-        let fits = held >= units;
-        self.units = if fits { held - units } else { held };
+        let available = refilled.min((plan.burst / share.gateways).max(units));
+        let fits = available >= units;
+        self.units = if fits { available - units } else { available };
         self.updated_at = now;
         fits
     }
--- a/policy/src/quota/gate.rs
+++ b/policy/src/quota/gate.rs
@@ -124,7 +124,7 @@
             let missing_units = request.units - available_units;
             QuotaDecision::Reject(QuotaShortfall { missing_units, refill_rate: share.plan.rate })
         } else {
-            tenant.wait(request);
+            tenant.add_waiting(request);
             QuotaDecision::Wait
         };
         Some((decision, QuotaSource::Counter))
@@ -139,13 +139,13 @@
         let wants_call = if request.client_retry { self.calls.call_ratio() >= 1.0 } else { sampled };
         let may_call = self.is_counter_usable() && wants_call;
         let Some(tenant) = self.tenants.get_mut(&request.tenant) else { return QuotaDecision::Wait };
-        let fresh = self.low_quota.is_fresh(tenant.salt(), tenant.share(&self.plans), now);
+        let fresh = self.low_quota.is_fresh(tenant.name_hash(), tenant.share(&self.plans), now);
         let call_pending = tenant.has_pending_call();
         if (fresh || call_pending) && !request.client_retry {
             tenant.lease.add_unreported(request.units);
         }
         if call_pending || may_call && !fresh {
-            tenant.wait(request);
+            tenant.add_waiting(request);
             return QuotaDecision::Wait;
         }
         self.admit_by_ratio(request, now, random).unwrap_or(QuotaDecision::Wait)
@@ -160,7 +160,7 @@
         let tenant = self.tenants.get(&request.tenant)?;
         let share = tenant.share(&self.plans);
         let decision =
-            self.low_quota.decide(tenant.salt(), tenant.plan(), request.client_retry, share, draw, now);
+            self.low_quota.decide(tenant.name_hash(), tenant.plan(), request.client_retry, share, draw, now);
         Some(if decision.admitted {
             QuotaDecision::Admit(decision.reading)
         } else {
@@ -179,7 +179,7 @@
         let window_now = self.clock.now(now);
         let tenant = self.tenants.get_mut(&request.tenant)?;
         let share = tenant.share_of(&self.plans[request.plan]);
-        tenant.stop_waiting(request.id);
+        tenant.remove_waiting(request.id);
         if share.is_low_quota() {
             return self.admit_by_ratio(request, now, random);
         }
@@ -215,7 +215,7 @@
     /// Corrects the use of a request by what it turned out to be.
     pub(crate) fn settle_usage(&mut self, tenant: &Name, units: f64, actual_units: f64) {
         if let Some(tenant) = self.tenants.get_mut(tenant) {
-            tenant.lease.use_unleased(actual_units - units);
+            tenant.lease.record_unleased_usage(actual_units - units);
         }
     }
 
@@ -229,7 +229,7 @@
     /// Notes that a request no longer waits for a reply.
     pub(crate) fn stop_waiting(&mut self, tenant: &Name, id: RequestId) {
         if let Some(tenant) = self.tenants.get_mut(tenant) {
-            tenant.stop_waiting(id);
+            tenant.remove_waiting(id);
         }
     }
 
@@ -269,7 +269,7 @@
             .then(|| CounterCall::read_previous(tenant, share));
         let increment = CounterCall::increment(tenant, share, self.draining, self.calls.call_ratio(), now);
         for call in read.into_iter().chain([increment]) {
-            self.calls.started(call.key, name.clone(), call.kind);
+            self.calls.call_started(call.key, name.clone(), call.kind);
             actions.push(Action::IncrementCounter { key: call.key, amount: call.amount, ttl: call.ttl });
         }
     }
@@ -278,7 +278,7 @@
 
     /// Returns unused leases, reports usage, and drops idle tenants.
     pub(crate) fn maintain(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        self.low_quota.drop_old(now);
+        self.low_quota.evict_expired(now);
         let window_now = self.clock.now(now);
         let mut to_report = Vec::new();
         self.tenants.retain(|name, tenant| {
@@ -290,13 +290,13 @@
             if (unused || self.draining) && tenant.lease.leased() >= MIN_REPORTED_UNITS {
                 tenant.lease.return_lease();
             }
-            let least_report = if self.draining {
+            let min_report = if self.draining {
                 MIN_REPORTED_UNITS
             } else {
                 (share.plan.burst * BLOCK_FRACTION).max(MIN_REPORTED_UNITS)
             };
-            let has_report = !share.is_low_quota() && tenant.lease.unreported().abs() >= least_report;
-            if !tenant.has_pending_call() && (has_report || tenant.has_waiting()) {
+            let should_report = !share.is_low_quota() && tenant.lease.unreported().abs() >= min_report;
+            if !tenant.has_pending_call() && (should_report || tenant.has_waiting()) {
                 to_report.push(name.clone());
             }
             tenant.is_busy() || idle < refill_period * IDLE_PERIODS
--- a/policy/src/quota/gate/counter_reply.rs
+++ b/policy/src/quota/gate/counter_reply.rs
@@ -13,7 +13,7 @@
     pub(crate) fn on_counter_reply(
         &mut self, key: u64, result: CounterResult, latency: Millis, now: Millis, actions: &mut Vec<Action>,
     ) -> ReplyOutcome {
-        let call = self.calls.ended(key, result, latency, now);
+        let call = self.calls.call_ended(key, result, latency, now);
         let Some(CallInFlight { tenant, kind }) = call else { return ReplyOutcome::Nothing };
         let total = match result {
             CounterResult::Total(total) => Some(total),
@@ -25,25 +25,27 @@
             actions.push(Action::Log("counter available again".into()));
         }
         match (kind, total) {
-            (CallKind::ReadPrevious, total) => self.on_previous_read(&tenant, total, now),
-            (CallKind::Increment, Some(total)) => self.on_total(&tenant, total, now, actions),
+            (CallKind::ReadPrevious, total) => self.on_previous_total(&tenant, total, now),
+            (CallKind::Increment, Some(total)) => self.on_increment_total(&tenant, total, now, actions),
             (CallKind::Increment, None) => self.on_increment_failed(&tenant, result),
         }
     }
 
     /// Without the total of the window before, other gateways are taken to have left an even part of the
     /// burst.
-    fn on_previous_read(&mut self, name: &Name, total: Option<f64>, now: Millis) -> ReplyOutcome {
+    fn on_previous_total(&mut self, name: &Name, total: Option<f64>, now: Millis) -> ReplyOutcome {
         let Some(tenant) = self.tenants.get_mut(name) else { return ReplyOutcome::Nothing };
         let share = tenant.share(&self.plans);
         let total = total.unwrap_or(share.plan.burst * (1.0 - 1.0 / share.gateways));
-        match tenant.end_pending_read(total) {
+        match tenant.complete_pending_read(total) {
             Some(reply) => self.apply_reply(name, reply, now),
             None => ReplyOutcome::Nothing,
         }
     }
 
-    fn on_total(&mut self, name: &Name, total: f64, now: Millis, actions: &mut Vec<Action>) -> ReplyOutcome {
+    fn on_increment_total(
+        &mut self, name: &Name, total: f64, now: Millis, actions: &mut Vec<Action>,
+    ) -> ReplyOutcome {
         let Some(tenant) = self.tenants.get_mut(name) else { return ReplyOutcome::Nothing };
         let Some(increment) = tenant.take_pending_increment() else { return ReplyOutcome::Nothing };
         if tenant.share(&self.plans).is_low_quota() {
@@ -51,7 +53,7 @@
             let reply = LowQuotaReply { increment, total, call_ratio };
             return self.on_low_quota_reply(name, reply, self.clock.now(now), actions);
         }
-        match tenant.hold_for_pending_read(IncrementReply { increment, total }) {
+        match tenant.defer_for_pending_read(IncrementReply { increment, total }) {
             Some(reply) => self.apply_reply(name, reply, now),
             None => ReplyOutcome::Nothing,
         }
@@ -73,7 +75,7 @@
     ) -> ReplyOutcome {
         let Some(tenant) = self.tenants.get_mut(name) else { return ReplyOutcome::Nothing };
         let share = tenant.share(&self.plans);
-        let ratio = self.low_quota.record_total(tenant.salt(), reply, share, now, actions);
+        let ratio = self.low_quota.record_total(tenant.name_hash(), reply, share, now, actions);
         let waiting = tenant.take_waiting();
         if tenant.lease.record_reading() {
             let client_retry = waiting.iter().any(|request| request.client_retry);
--- a/policy/src/quota/lease.rs
+++ b/policy/src/quota/lease.rs
@@ -21,13 +21,13 @@
 /// least an even part of what is above it.
 const SCARCE_FRACTION: f64 = 0.5;
 /// A block is renewed when less than this fraction of it is left.
-const RENEWAL_FRACTION: f64 = 0.4;
+const RENEWAL_THRESHOLD: f64 = 0.4;
 /// Totals that differ by less are equal: the counter is exact to a limited number of digits.
 const TOTAL_TOLERANCE: f64 = 1e-6;
 
 /// The total of a window that is over.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PreviousWindow {
+pub(crate) struct WindowTotal {
     pub(crate) window: WindowNumber,
     pub(crate) total: f64,
 }
@@ -69,9 +69,9 @@
     /// Units used but not added to a count yet; negative if units are to be returned.
     unreported: f64,
     /// The total of the window before, read from the counter.
-    previous: Option<PreviousWindow>,
+    previous_total: Option<WindowTotal>,
     /// The last total that a reply in an earlier window returned.
-    last_of_earlier: Option<PreviousWindow>,
+    last_earlier_total: Option<WindowTotal>,
 }
 
 impl LeaseCache {
@@ -86,8 +86,8 @@
             has_reading: false,
             last_reply_at: 0.0,
             unreported: 0.0,
-            previous: None,
-            last_of_earlier: None,
+            previous_total: None,
+            last_earlier_total: None,
         }
     }
 
@@ -104,7 +104,7 @@
         if window != self.window {
             self.remaining = (self.remaining + self.leased).min(share.plan.burst);
             if self.last_total > 0.0 {
-                self.last_of_earlier = Some(PreviousWindow { window: self.window, total: self.last_total });
+                self.last_earlier_total = Some(WindowTotal { window: self.window, total: self.last_total });
             }
             self.window = window;
             self.leased = 0.0;
@@ -174,7 +174,7 @@
     }
 
     /// Notes units that are used without a lease.
-    pub(super) fn use_unleased(&mut self, units: f64) {
+    pub(super) fn record_unleased_usage(&mut self, units: f64) {
         self.unreported += units;
         self.remaining -= units;
     }
@@ -198,23 +198,23 @@
 
     /// Returns whether the total of the window before `window` is known.
     pub(super) fn knows_total_before(&self, window: WindowNumber) -> bool {
-        self.previous.is_some_and(|previous| previous.window == window.wrapping_sub(1))
+        self.previous_total.is_some_and(|previous| previous.window == window.wrapping_sub(1))
     }
 
-    pub(super) fn set_previous(&mut self, window: WindowNumber, total: f64) {
-        self.previous = Some(PreviousWindow { window, total });
+    pub(super) fn set_previous_total(&mut self, window: WindowNumber, total: f64) {
+        self.previous_total = Some(WindowTotal { window, total });
     }
 
     /// Returns the smoothed demand of a block's time, as far as the remaining quota allows.
-    pub(super) fn demand_block(&self, demand: &Demand, share: QuotaShare<'_>) -> f64 {
+    pub(super) fn block_for_demand(&self, demand: &Demand, share: QuotaShare<'_>) -> f64 {
         let wanted = demand.rate * share.refill_period() * BLOCK_FRACTION;
         wanted.min(self.remaining * MAX_BLOCK_FRACTION / share.gateways).floor()
     }
 
     /// Returns whether the lease block should be renewed.
     pub(super) fn needs_renewal(&self, demand: &Demand, share: QuotaShare<'_>) -> bool {
-        let block = self.demand_block(demand, share);
-        block >= 1.0 && self.leased < block * RENEWAL_FRACTION
+        let block = self.block_for_demand(demand, share);
+        block >= 1.0 && self.leased < block * RENEWAL_THRESHOLD
     }
 
     /// Returns the size of the next block: an even part while much of the quota remains (so the first is the
@@ -223,7 +223,7 @@
         let plan = share.plan;
         let wanted = if self.has_reading {
             let even_part = (self.remaining - plan.burst * SCARCE_FRACTION) / share.gateways;
-            self.demand_block(demand, share).max(even_part.ceil())
+            self.block_for_demand(demand, share).max(even_part.ceil())
         } else {
             plan.burst / share.gateways
         };
@@ -241,8 +241,8 @@
         if share.plan.ceiling_rate > 0.0 && self.has_reading && self.last_reply_at < recovered_at {
             // The counter may have lost its counts while it was unavailable, so what other gateways spent is
             // not in the total. Only this gateway's allowance, or the initial quota, is surely left.
-            let certain = fallback.map_or(ceiling::initial_quota(share.plan), |fallback| fallback.units);
-            self.remaining = self.remaining.min(certain);
+            let guaranteed = fallback.map_or(ceiling::initial_quota(share.plan), |fallback| fallback.units);
+            self.remaining = self.remaining.min(guaranteed);
         }
         self.last_reply_at = now.local;
         if reply.increment.window == self.window {
@@ -257,15 +257,15 @@
         let IncrementReply { increment, total } = reply;
         let block = increment.block;
         // What the fallback admitted during the call is paid from the block, as the block has been added.
-        let paid = self.unreported.clamp(0.0, block);
-        self.unreported -= paid;
-        self.remaining += paid;
+        let covered = self.unreported.clamp(0.0, block);
+        self.unreported -= covered;
+        self.remaining += covered;
         self.added += block + increment.unreported;
         if self.record_reading() {
             // The total covers the present window alone, which may have begun just now, so the fallback
             // allowance bounds the quota as well.
             let bound = fallback.map_or(f64::INFINITY, |fallback| fallback.units * share.gateways);
-            self.remaining = self.quota_by_first_total(reply, now, share).min(bound);
+            self.remaining = self.remaining_by_first_total(reply, now, share).min(bound);
         } else if total + TOTAL_TOLERANCE < self.added {
             // The counter lost its counts: what this gateway holds is added again, so that new blocks of
             // other gateways do not come on top of it.
@@ -276,7 +276,7 @@
             self.remaining = (self.remaining - used_by_others).min(share.plan.burst);
         }
         self.last_total = total;
-        self.leased += block - paid;
+        self.leased += block - covered;
         self.return_excess(block);
     }
 
@@ -292,24 +292,24 @@
 
     /// Returns the quota left by the first total of a window and, if it is known, the total of the window
     /// before.
-    fn quota_by_first_total(&self, reply: IncrementReply, now: Now, share: QuotaShare<'_>) -> f64 {
+    fn remaining_by_first_total(&self, reply: IncrementReply, now: Now, share: QuotaShare<'_>) -> f64 {
         let IncrementReply { increment: Increment { window, unreported, .. }, total } = reply;
         let plan = share.plan;
-        let by_window = ceiling::initial_quota(plan) - total;
-        let previous = self.previous.filter(|previous| previous.window.wrapping_add(1) == window);
-        let Some(previous) = previous else { return by_window };
+        let remaining_in_window = ceiling::initial_quota(plan) - total;
+        let previous = self.previous_total.filter(|previous| previous.window.wrapping_add(1) == window);
+        let Some(previous) = previous else { return remaining_in_window };
         // The units of the window before may all have been used at its end, with no refill since.
-        let at_start = (plan.burst - previous.total).clamp(0.0, plan.burst);
+        let remaining_at_start = (plan.burst - previous.total).clamp(0.0, plan.burst);
         let refilled = plan.rate * share.schedule().elapsed(window, now) / 1000.0;
-        let least = by_window.min(at_start + refilled - total);
+        let lower_bound = remaining_in_window.min(remaining_at_start + refilled - total);
         // Under a ceiling no more than the totals show is taken for left.
         let last_seen = self
-            .last_of_earlier
+            .last_earlier_total
             .filter(|last_seen| last_seen.window == previous.window && plan.ceiling_rate <= 0.0);
-        last_seen.map_or(least, |last_seen| {
+        last_seen.map_or(lower_bound, |last_seen| {
             // This gateway knows the quota as of its last reply, and what was used since.
             let used_by_others = previous.total - last_seen.total + total - unreported;
-            least.max(self.remaining - used_by_others.max(0.0))
+            lower_bound.max(self.remaining - used_by_others.max(0.0))
         })
     }
 }
--- a/policy/src/quota/low_quota.rs
+++ b/policy/src/quota/low_quota.rs
@@ -27,7 +27,7 @@
 const GOSSIP_THRESHOLD: f64 = 0.7;
 /// The admit ratio is sent in one byte.
 const GOSSIP_RATIO_SCALE: f64 = 255.0;
-/// The position of the admit ratio in a message; the salt before it leaves this byte free.
+/// The position of the admit ratio in a message; the name hash before it leaves this byte free.
 const GOSSIP_RATIO_BYTE: usize = 7;
 
 /// The fraction of a tenant's requests that fits its quota, as last read here or by another gateway.
@@ -39,12 +39,12 @@
 
 /// The typical admit ratio of a plan's tenants at their first reading.
 #[derive(Clone, Copy, Debug)]
-struct PlanAdmitRatio {
+struct PlanAdmitRatios {
     first_attempts: f64,
     client_retries: f64,
 }
 
-impl Default for PlanAdmitRatio {
+impl Default for PlanAdmitRatios {
     fn default() -> Self {
         Self { first_attempts: 1.0, client_retries: 0.5 }
     }
@@ -70,31 +70,32 @@
 /// The admit ratios of low-quota tenants.
 #[derive(Debug)]
 pub(super) struct LowQuotaTenants {
-    by_plan: Vec<PlanAdmitRatio>,
+    by_plan: Vec<PlanAdmitRatios>,
     /// By the hash of the tenant's name.
-    by_salt: BTreeMap<u64, CachedAdmitRatio>,
+    by_name_hash: BTreeMap<u64, CachedAdmitRatio>,
     gossip: bool,
 }
 
 impl LowQuotaTenants {
     pub(super) fn new(plans: usize, gossip: bool) -> Self {
-        Self { by_plan: vec![PlanAdmitRatio::default(); plans], by_salt: BTreeMap::new(), gossip }
+        Self { by_plan: vec![PlanAdmitRatios::default(); plans], by_name_hash: BTreeMap::new(), gossip }
     }
 
     /// Returns whether the last reading of a tenant is fresh.
-    pub(super) fn is_fresh(&self, salt: u64, share: QuotaShare<'_>, now: Millis) -> bool {
+    pub(super) fn is_fresh(&self, name_hash: u64, share: QuotaShare<'_>, now: Millis) -> bool {
         let freshness = share.refill_period() * FRESH_FRACTION;
-        self.by_salt.get(&salt).is_some_and(|cached| now - cached.updated_at < freshness)
+        self.by_name_hash.get(&name_hash).is_some_and(|cached| now - cached.updated_at < freshness)
     }
 
     /// Decides for a request by the cached ratio, which decays to that of the plan. Of a tenant without a
     /// reading all is admitted while that gains more than it costs. A client's retries are admitted only
     /// while all requests fit: otherwise rejected requests would return until they are admitted.
     pub(super) fn decide(
-        &self, salt: u64, plan: PlanIndex, client_retry: bool, share: QuotaShare<'_>, draw: f64, now: Millis,
+        &self, name_hash: u64, plan: PlanIndex, client_retry: bool, share: QuotaShare<'_>, draw: f64,
+        now: Millis,
     ) -> RatioDecision {
         let typical = self.typical_ratio(plan, client_retry, share);
-        let cached = self.by_salt.get(&salt);
+        let cached = self.by_name_hash.get(&name_hash);
         let CachedAdmitRatio { ratio, updated_at } = cached.copied().unwrap_or_default();
         let ratio = if client_retry { ratio.floor() } else { ratio };
         let age = (now - updated_at) / share.refill_period();
@@ -115,7 +116,7 @@
 
     /// Caches and returns the admit ratio that follows from a total, and gossips about it if it is news.
     pub(super) fn record_total(
-        &mut self, salt: u64, reply: LowQuotaReply, share: QuotaShare<'_>, now: Now,
+        &mut self, name_hash: u64, reply: LowQuotaReply, share: QuotaShare<'_>, now: Now,
         actions: &mut Vec<Action>,
     ) -> f64 {
         let refill_period = share.refill_period();
@@ -126,12 +127,12 @@
         let extrapolated = block - block * reply.call_ratio;
         let demand = (decayed(reply.total, elapsed, refill_period) - extrapolated).max(0.0);
         let ratio = admit_ratio(demand, share.plan.burst, ADMIT_RATIO_EXPONENT);
-        let before = self.by_salt.insert(salt, CachedAdmitRatio { ratio, updated_at: now.local });
+        let before = self.by_name_hash.insert(name_hash, CachedAdmitRatio { ratio, updated_at: now.local });
         let before = before.unwrap_or(CachedAdmitRatio { ratio: 1.0, updated_at: f64::NEG_INFINITY });
         let changed =
             ratio < before.ratio * GOSSIP_THRESHOLD || now.local > before.updated_at + refill_period;
         if self.gossip && ratio < GOSSIP_THRESHOLD && changed {
-            actions.push(Action::Gossip { bytes: encode(salt, ratio) });
+            actions.push(Action::Gossip { bytes: encode_gossip(name_hash, ratio) });
         }
         ratio
     }
@@ -147,17 +148,17 @@
     pub(super) fn record_gossip(&mut self, bytes: &[u8], now: Millis) {
         let Ok(mut bytes) = <[u8; 8]>::try_from(bytes) else { return };
         let ratio = f64::from(std::mem::take(&mut bytes[GOSSIP_RATIO_BYTE])) / GOSSIP_RATIO_SCALE;
-        self.by_salt.insert(u64::from_le_bytes(bytes), CachedAdmitRatio { ratio, updated_at: now });
+        self.by_name_hash.insert(u64::from_le_bytes(bytes), CachedAdmitRatio { ratio, updated_at: now });
     }
 
     /// Drops cached ratios that are too old to matter.
-    pub(super) fn drop_old(&mut self, now: Millis) {
-        self.by_salt.retain(|_, cached| now - cached.updated_at < MAX_RETENTION);
+    pub(super) fn evict_expired(&mut self, now: Millis) {
+        self.by_name_hash.retain(|_, cached| now - cached.updated_at < MAX_RETENTION);
     }
 }
 
-fn encode(salt: u64, ratio: f64) -> Vec<u8> {
-    let mut bytes = salt.to_le_bytes();
+fn encode_gossip(name_hash: u64, ratio: f64) -> Vec<u8> {
+    let mut bytes = name_hash.to_le_bytes();
     bytes[GOSSIP_RATIO_BYTE] = (ratio * GOSSIP_RATIO_SCALE) as u8;
     bytes.to_vec()
 }
--- a/policy/src/quota/share.rs
+++ b/policy/src/quota/share.rs
@@ -18,12 +18,12 @@
     pub(crate) plan: &'a QuotaPlan,
     /// How many gateways serve the tenant.
     pub(crate) gateways: f64,
-    salt: u64,
+    name_hash: u64,
 }
 
 impl<'a> QuotaShare<'a> {
-    pub(crate) fn new(plan: &'a QuotaPlan, gateways: f64, salt: u64) -> Self {
-        Self { plan, gateways, salt }
+    pub(crate) fn new(plan: &'a QuotaPlan, gateways: f64, name_hash: u64) -> Self {
+        Self { plan, gateways, name_hash }
     }
 
     /// Returns the time in which the quota refills once: burst divided by rate.
@@ -46,11 +46,11 @@
         } else {
             refill_period
         };
-        WindowSchedule::new(length, self.salt)
+        WindowSchedule::new(length, self.name_hash)
     }
 
     pub(crate) fn counter_key(&self, window: WindowNumber) -> u64 {
-        counter_key(self.salt, window)
+        counter_key(self.name_hash, window)
     }
 }
 
--- a/policy/src/quota/tenant.rs
+++ b/policy/src/quota/tenant.rs
@@ -11,8 +11,8 @@
 use crate::{Millis, QuotaPlan, RequestId};
 use std::collections::VecDeque;
 
-/// The highest bits of a salt are 0, as a gossip message holds the admit ratio in their place.
-const FREE_SALT_BITS: u32 = 8;
+/// The highest bits of a name hash are 0, as a gossip message holds the admit ratio in their place.
+const RESERVED_HASH_BITS: u32 = 8;
 
 /// The position of this gateway among those that serve a tenant, as stated by a request.
 #[derive(Clone, Copy, Debug)]
@@ -45,7 +45,7 @@
     /// The window before the present one, while its total is being read.
     previous_window: Option<WindowNumber>,
     /// The reply to an increment that came before that total.
-    held_reply: Option<IncrementReply>,
+    deferred_reply: Option<IncrementReply>,
 }
 
 /// One tenant.
@@ -58,7 +58,7 @@
     /// The position of this gateway among them.
     position: u32,
     /// A hash of the name, of which the highest byte is free.
-    salt: u64,
+    name_hash: u64,
     pub(super) lease: LeaseCache,
     pub(super) demand: Demand,
     /// The allowance spent while the counter is unavailable.
@@ -76,7 +76,7 @@
             plan,
             gateways: 0.0,
             position: 0,
-            salt: hash(name) >> FREE_SALT_BITS,
+            name_hash: hash(name) >> RESERVED_HASH_BITS,
             lease: LeaseCache::new(initial_quota, now),
             demand: Demand::new(now),
             fallback: None,
@@ -111,7 +111,7 @@
 
     /// Returns the tenant's quota by a given plan.
     pub(crate) fn share_of<'a>(&self, plan: &'a QuotaPlan) -> QuotaShare<'a> {
-        QuotaShare::new(plan, self.gateways, self.salt)
+        QuotaShare::new(plan, self.gateways, self.name_hash)
     }
 
     /// Returns whether another attempt fits under a limit of attempts in flight at all gateways together. The
@@ -126,8 +126,8 @@
         self.plan
     }
 
-    pub(crate) fn salt(&self) -> u64 {
-        self.salt
+    pub(crate) fn name_hash(&self) -> u64 {
+        self.name_hash
     }
 
     /// Notes that an attempt is forwarded.
@@ -150,7 +150,7 @@
         let new = || FallbackAllowance::new(start, self.lease.remaining(), share, now);
         let fallback = self.fallback.get_or_insert_with(new);
         if fallback.spend(units, share, now) {
-            self.lease.use_unleased(units);
+            self.lease.record_unleased_usage(units);
             Ok(())
         } else {
             Err(QuotaShortfall {
@@ -170,8 +170,8 @@
 
     /// Returns whether a call has not ended, or its reply has not been applied.
     pub(crate) fn has_pending_call(&self) -> bool {
-        let PendingCalls { increment, previous_window, held_reply } = &self.pending;
-        increment.is_some() || previous_window.is_some() || held_reply.is_some()
+        let PendingCalls { increment, previous_window, deferred_reply } = &self.pending;
+        increment.is_some() || previous_window.is_some() || deferred_reply.is_some()
     }
 
     pub(crate) fn set_pending_increment(&mut self, increment: Increment) {
@@ -189,19 +189,19 @@
 
     /// Notes the total of the window before, once its read has ended. Returns the reply to an increment that
     /// was held for it.
-    pub(crate) fn end_pending_read(&mut self, total: f64) -> Option<IncrementReply> {
+    pub(crate) fn complete_pending_read(&mut self, total: f64) -> Option<IncrementReply> {
         let window = self.pending.previous_window.take()?;
-        self.lease.set_previous(window, total);
-        self.pending.held_reply.take()
+        self.lease.set_previous_total(window, total);
+        self.pending.deferred_reply.take()
     }
 
     /// Holds the reply to an increment while the total of the window before is being read. Returns the reply
     /// if it can be applied now.
-    pub(crate) fn hold_for_pending_read(&mut self, reply: IncrementReply) -> Option<IncrementReply> {
+    pub(crate) fn defer_for_pending_read(&mut self, reply: IncrementReply) -> Option<IncrementReply> {
         if self.pending.previous_window.is_none() {
             return Some(reply);
         }
-        self.pending.held_reply = Some(reply);
+        self.pending.deferred_reply = Some(reply);
         None
     }
 
@@ -219,12 +219,12 @@
     }
 
     /// Adds a request to those that wait for a reply.
-    pub(crate) fn wait(&mut self, request: &QuotaRequest) {
+    pub(crate) fn add_waiting(&mut self, request: &QuotaRequest) {
         self.waiting.push_back(request.into());
     }
 
     /// Removes a request from those that wait for a reply.
-    pub(crate) fn stop_waiting(&mut self, id: RequestId) {
+    pub(crate) fn remove_waiting(&mut self, id: RequestId) {
         self.waiting.retain(|waiting| waiting.id != id);
     }
 
--- a/policy/src/quota/window.rs
+++ b/policy/src/quota/window.rs
@@ -89,8 +89,8 @@
 }
 
 impl WindowSchedule {
-    pub(crate) fn new(length: Millis, salt: u64) -> Self {
-        let stagger = (salt % STAGGER_STEPS) as f64 / STAGGER_STEPS as f64 * length;
+    pub(crate) fn new(length: Millis, name_hash: u64) -> Self {
+        let stagger = (name_hash % STAGGER_STEPS) as f64 / STAGGER_STEPS as f64 * length;
         Self { length, stagger }
     }
 
@@ -111,6 +111,6 @@
 }
 
 /// Returns the counter key of a tenant's window, below 2^63 and the same at all gateways.
-pub(crate) fn counter_key(salt: u64, window: WindowNumber) -> u64 {
-    mix(salt ^ window.wrapping_mul(WEYL_STEP)) >> 1
+pub(crate) fn counter_key(name_hash: u64, window: WindowNumber) -> u64 {
+    mix(name_hash ^ window.wrapping_mul(WEYL_STEP)) >> 1
 }
