--- a/policy/src/quota/counter_call.rs
+++ b/policy/src/quota/counter_call.rs
@@ -1,4 +1,4 @@
-//! The calls that a tenant makes to the counter: what is added, to which key.
+//! Builds the counter calls of a tenant: the key, the amount to add and the time to live.
 
 use super::counter_calls::CallKind;
 use super::decayed_count::increment_weight;
@@ -9,7 +9,7 @@
 use super::{IDLE_PERIODS, MAX_RETENTION};
 use crate::Millis;
 
-/// A key that is only read is not kept.
+/// The time to live of a key that is only read: it need not be stored.
 const READ_TTL: Millis = 1.0;
 
 /// A counter call to make.
@@ -17,19 +17,19 @@
     pub(super) kind: CallKind,
     pub(super) key: u64,
     pub(super) amount: f64,
-    /// How long a new key is kept.
+    /// How long the counter keeps the key if this call creates it.
     pub(super) ttl: Millis,
 }
 
 impl CounterCall {
-    /// Returns the call that reads the total of the window before, and notes it as pending.
+    /// Returns the call that reads the total of the previous window, and records it as pending.
     pub(super) fn read_previous(tenant: &mut Tenant, share: QuotaShare<'_>) -> Self {
         let window = tenant.lease.window().wrapping_sub(1);
         tenant.set_pending_read(window);
         Self { kind: CallKind::ReadPrevious, key: share.counter_key(window), amount: 0.0, ttl: READ_TTL }
     }
 
-    /// Returns the call that adds a lease block and the unreported usage, and notes it as pending.
+    /// Returns the call that adds a lease block and the unreported usage, and records it as pending.
     pub(super) fn increment(
         tenant: &mut Tenant, share: QuotaShare<'_>, draining: bool, call_ratio: f64, now: Now,
     ) -> Self {
@@ -37,7 +37,7 @@
         let length = share.schedule().length();
         let low_quota = share.is_low_quota();
         let block = if low_quota {
-            // Only this fraction of the wanted calls is made: each stands for the demand of others as well.
+            // Only this fraction of the wanted calls is made, so the demand of each is scaled up.
             low_quota_demand(tenant) / call_ratio
         } else {
             lease_block(tenant, share, draining)
@@ -55,20 +55,20 @@
     }
 }
 
-/// Returns whether the total of the window before is needed: the present window alone does not show what
-/// other gateways used a moment ago.
+/// Returns whether the total of the previous window must be read: the total of the current window does not
+/// include what other gateways used shortly before it began.
 pub(super) fn needs_previous_total(tenant: &Tenant, share: QuotaShare<'_>) -> bool {
     let lease = &tenant.lease;
     !lease.has_reading() && !share.is_low_quota() && !lease.knows_total_before(lease.window())
 }
 
-/// Returns the demand of the waiting requests, without clients' retries.
+/// Returns the total units of the waiting requests, excluding clients' retries.
 fn low_quota_demand(tenant: &Tenant) -> f64 {
     tenant.waiting().filter(|request| !request.client_retry).map(|request| request.units).sum()
 }
 
-/// Returns how many units to lease beside those that are left of the lease: while draining, no more than what
-/// waiting requests need.
+/// Returns how many units to lease in addition to the unspent leased units: while draining, only what waiting
+/// requests need.
 fn lease_block(tenant: &Tenant, share: QuotaShare<'_>, draining: bool) -> f64 {
     let lease = &tenant.lease;
     let needed: f64 = tenant.waiting().map(|request| request.units).sum();
--- a/policy/src/quota/counter_calls.rs
+++ b/policy/src/quota/counter_calls.rs
@@ -1,63 +1,63 @@
-//! Calls to the shared counter: those in flight, back-pressure, and the counter's unavailability.
+//! Calls to the shared counter: calls in flight, back-pressure, and detection of an unavailable counter.
 //!
-//! A counter that is overloaded or gone must not make requests late, and must not get more calls than it can
-//! answer. So the calls in flight are bounded, a call ratio follows the latency of replies (multiplicative
-//! increase, multiplicative decrease), and after repeated failures the counter counts as unavailable, much
-//! like an open circuit breaker.
+//! A counter that is overloaded or unreachable must not delay requests, and must not receive more calls than
+//! it can answer. Therefore the number of calls in flight is limited, a call ratio follows the latency of
+//! replies (multiplicative increase, multiplicative decrease), and after repeated failures the counter is
+//! considered unavailable, as with an open circuit breaker.
 
 use crate::{CounterResult, Millis, Name, Settings};
 use std::collections::BTreeMap;
 
-/// A request waits for a reply of the counter at most this fraction of its latency objective.
+/// A request waits for a counter reply for at most this fraction of its latency objective.
 pub(crate) const MAX_WAIT_FRACTION: f64 = 0.12;
-/// The most calls in flight while the counter keeps up.
+/// The maximum number of calls in flight at a call ratio of 1.
 const MAX_CALLS_IN_FLIGHT: f64 = 12.0;
-/// Replies should arrive within this fraction of the shortest wait of a request: slower, and fewer calls are
-/// made.
+/// A reply is fast within this fraction of the shortest time that a request of any class waits. Slower
+/// replies lower the call ratio.
 const FAST_REPLY_FRACTION: f64 = 0.3;
-/// By how much an instant reply raises the call ratio.
+/// The relative increase of the call ratio for a reply without latency.
 const CALL_RATIO_STEP: f64 = 0.2;
-/// A slow reply or a failure lowers the call ratio by up to this many times as much.
+/// A slow reply or a failure lowers the call ratio by up to this many steps.
 const MAX_DECREASE_FACTOR: f64 = 2.0;
-/// The lowest call ratio: without calls a gateway would not learn that the counter has recovered.
+/// The minimum call ratio: without calls a gateway would not detect that the counter has recovered.
 const MIN_CALL_RATIO: f64 = 0.1;
-/// The counter counts as unavailable after this many consecutive failures at least: a single call may just be
-/// late.
+/// The counter is considered unavailable only after this many consecutive failures: a single call may merely
+/// be late.
 const UNAVAILABLE_AFTER_FAILURES: u32 = 2;
-/// The counter counts as unavailable only if the last reply is more than this many call timeouts ago.
+/// The counter is considered unavailable only if the last reply is more than this many call timeouts ago.
 const UNAVAILABLE_AFTER_TIMEOUTS: f64 = 3.0;
 
-/// What a call is for.
+/// The purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum CallKind {
     /// Adds a lease block and the unreported usage.
     Increment,
-    /// Reads the total of the window before the present one.
+    /// Reads the total of the previous window.
     ReadPrevious,
 }
 
-/// A call without a reply.
+/// A call that has not ended.
 #[derive(Debug)]
 pub(crate) struct CallInFlight {
     pub(crate) tenant: Name,
     pub(crate) kind: CallKind,
 }
 
-/// The calls of one gateway to the counter.
+/// The calls of this gateway to the counter.
 #[derive(Debug)]
 pub(crate) struct CounterCalls {
     in_flight_by_key: BTreeMap<u64, CallInFlight>,
-    /// The fraction of the wanted calls that the counter keeps up with, by how fast it replies.
+    /// The fraction of the wanted calls to make, derived from the latency of replies.
     call_ratio: f64,
     consecutive_failures: u32,
     last_reply_at: Millis,
     recovered_at: Millis,
-    /// When the process went on after its last pause.
+    /// When the process resumed after its last pause.
     resumed_at: Millis,
     unavailability_logged: bool,
     has_counter: bool,
     timeout: Millis,
-    /// A reply within this time is fast.
+    /// Replies up to this latency raise the call ratio.
     fast_reply_latency: Millis,
 }
 
@@ -82,23 +82,22 @@
         self.has_counter
     }
 
-    /// Returns the fraction of the wanted calls that the counter keeps up with.
+    /// Returns the fraction of the wanted calls to make.
     pub(crate) fn call_ratio(&self) -> f64 {
         self.call_ratio
     }
 
-    /// Returns whether the counter keeps up with all calls, so that it can answer some beside those that
-    /// lease.
+    /// Returns whether the counter keeps up with all calls, so that it can also answer calls that only read.
     pub(crate) fn keeps_up(&self) -> bool {
         self.call_ratio >= 1.0
     }
 
-    /// Notes that the process goes on after a pause.
+    /// Records that the process resumed after a pause.
     pub(crate) fn resume(&mut self, now: Millis) {
         self.resumed_at = now;
     }
 
-    /// Returns when the counter's last unavailability ended.
+    /// Returns when the counter was last detected to have recovered.
     pub(crate) fn recovered_at(&self) -> Millis {
         self.recovered_at
     }
@@ -107,30 +106,31 @@
         self.in_flight_by_key.is_empty()
     }
 
-    /// Returns whether no further call fits beside those in flight.
+    /// Returns whether the limit of calls in flight is reached.
     pub(crate) fn is_full(&self) -> bool {
         self.in_flight_by_key.len() as f64 >= (MAX_CALLS_IN_FLIGHT * self.call_ratio).max(1.0)
     }
 
-    /// Returns whether several consecutive calls have failed and the last reply is long ago.
+    /// Returns whether several consecutive calls have failed and no reply arrived for several timeouts.
     pub(crate) fn is_unavailable(&self, now: Millis) -> bool {
         let since_reply = now - self.last_reply_at;
         self.consecutive_failures >= UNAVAILABLE_AFTER_FAILURES
             && since_reply > self.timeout * UNAVAILABLE_AFTER_TIMEOUTS
     }
 
-    /// Notes a call for a tenant.
+    /// Records a call for a tenant.
     pub(crate) fn call_started(&mut self, key: u64, tenant: Name, kind: CallKind) {
         self.in_flight_by_key.insert(key, CallInFlight { tenant, kind });
     }
 
-    /// Notes the end of a call, and returns what it was.
+    /// Removes a call that has ended and adjusts the call ratio by its latency. Returns the call, or `None`
+    /// if the key has no call in flight.
     pub(crate) fn call_ended(
         &mut self, key: u64, result: CounterResult, latency: Millis, now: Millis,
     ) -> Option<CallInFlight> {
         let call = self.in_flight_by_key.remove(&key)?;
         if now - latency < self.resumed_at {
-            // The latency includes a pause of this process, and says nothing of the counter.
+            // The latency includes a pause of this process, so it does not measure the counter.
             return Some(call);
         }
         let slowness = match result {
@@ -142,7 +142,7 @@
         Some(call)
     }
 
-    /// Notes a call that returned a total. Returns whether it ends an unavailability that was logged.
+    /// Records a call that returned a total. Returns whether it ends an unavailability that was logged.
     pub(crate) fn record_reply(&mut self, now: Millis) -> bool {
         let recovered = std::mem::take(&mut self.unavailability_logged);
         if recovered {
@@ -153,13 +153,12 @@
         recovered
     }
 
-    /// Notes a call that returned no total.
+    /// Records a call that returned no total.
     pub(crate) fn record_failure(&mut self) {
         self.consecutive_failures += 1;
     }
 
-    /// Notes that the counter is unavailable. Returns whether that is to be logged, as it has not been since
-    /// the last reply.
+    /// Records that the counter is unavailable. Returns whether to log it: once until the next reply.
     pub(crate) fn record_unavailability(&mut self) -> bool {
         !std::mem::replace(&mut self.unavailability_logged, true)
     }
--- a/policy/src/quota/decayed_count.rs
+++ b/policy/src/quota/decayed_count.rs
@@ -1,36 +1,36 @@
-//! A shared count that decays: what a low-quota tenant requests at all gateways together.
+//! An exponentially decaying count of the demand of a low-quota tenant, summed over all gateways.
 //!
-//! A counter can only be added to, so old demand cannot be taken off it. Instead newer demand weighs more
-//! (forward decay): an increment is multiplied by `e` for each refill period since its window began. The
-//! total, divided by the weight of the moment at which it is read, is the demand with older demand decayed.
-//! At a steady rate that is the rate times the refill period: a total of one burst means a tenant that
-//! requests exactly its quota, and any gateway learns this from a single call at any time.
+//! The counter only supports addition, so old demand cannot be subtracted from it. Instead newer demand gets
+//! a larger weight (forward decay): an increment is multiplied by `e` for each refill period since its window
+//! began. The total, divided by the weight at the time of the reading, is the decayed demand. At a steady
+//! request rate it equals the rate times the refill period, so a decayed demand of one burst means that the
+//! tenant requests exactly its quota. A gateway gets this from a single call, at any time in the window.
 
 use crate::Millis;
 
-/// A window lasts this many refill periods: old demand decays to nothing, and with these weights a total that
-/// is exact to seven digits is still exact to a thousandth of a unit.
+/// A window lasts this many refill periods: long enough for old demand to become negligible, and short enough
+/// that a total with seven significant digits is still exact to a thousandth of a unit at these weights.
 const WINDOW_PERIODS: f64 = 8.0;
 
-/// Returns how long a window lasts, `max_length` at most.
+/// Returns the length of a window, at most `max_length`.
 pub(crate) fn window_length(refill_period: Millis, max_length: Millis) -> Millis {
     (refill_period * WINDOW_PERIODS).min(max_length)
 }
 
-/// Returns what a unit adds to the count when it is requested this long after its window began.
+/// Returns the weight of a unit that is requested `elapsed` after the window began.
 pub(crate) fn increment_weight(elapsed: Millis, refill_period: Millis) -> f64 {
     (elapsed / refill_period).exp()
 }
 
-/// Returns what is left of a demand after this time.
+/// Returns a demand of the given age after exponential decay.
 pub(crate) fn decayed(demand: f64, age: Millis, refill_period: Millis) -> f64 {
     demand / increment_weight(age, refill_period)
 }
 
-/// Returns the fraction of requests to admit, given the decayed demand: all up to one burst.
+/// Returns the fraction of requests to admit at a decayed demand: 1 up to one burst.
 ///
-/// Beyond a burst, an `exponent` of 1 gives the exact fraction; a larger one makes up for demand that the
-/// count does not include.
+/// Above one burst, an `exponent` of 1 gives the exact fraction; a larger one compensates for demand that is
+/// missing from the count.
 pub(crate) fn admit_ratio(demand: f64, burst: f64, exponent: f64) -> f64 {
     if demand > burst { (burst / demand).powf(exponent) } else { 1.0 }
 }
--- a/policy/src/quota/demand.rs
+++ b/policy/src/quota/demand.rs
@@ -1,9 +1,9 @@
-//! The demand of one tenant at this gateway, as an exponentially weighted moving average. It determines the
-//! size of lease blocks.
+//! The request rate of one tenant at this gateway, as an exponentially weighted moving average. It determines
+//! the size of lease blocks.
 
 use crate::Millis;
 
-/// Demand is smoothed over this fraction of a refill period.
+/// The time constant of the moving average, as a fraction of a refill period.
 const SMOOTHING_FRACTION: f64 = 0.5;
 
 /// The smoothed demand of a tenant at this gateway.
@@ -20,7 +20,7 @@
         Self { rate: 0.0, updated_at: now }
     }
 
-    /// Notes a request that arrived.
+    /// Records a request that arrived.
     pub(crate) fn record(&mut self, units: f64, refill_period: Millis, now: Millis) {
         let span = refill_period * SMOOTHING_FRACTION;
         self.rate = self.rate * (-(now - self.updated_at) / span).exp() + units / span;
--- a/policy/src/quota/fallback.rs
+++ b/policy/src/quota/fallback.rs
@@ -1,9 +1,10 @@
-//! What is admitted while the counter is unavailable: an even part of the quota at each gateway.
+//! The allowance that a gateway admits requests from while the counter is unavailable: an equal part of the
+//! tenant's quota at each gateway.
 
 use super::share::QuotaShare;
 use crate::Millis;
 
-/// This gateway's even part of a tenant's quota.
+/// This gateway's equal part of a tenant's quota, refilled at an equal part of its rate.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FallbackAllowance {
     /// Units that may be spent.
@@ -11,17 +12,17 @@
     updated_at: Millis,
 }
 
-/// What is known of the quota that a new allowance is a part of.
+/// The initial units of an allowance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum FallbackStart {
-    /// An even part of the quota that was left by the last reading.
+    /// An equal part of the quota that remained at the last reading.
     LastReading,
-    /// Nothing: other gateways have used the quota without this one knowing.
+    /// None: other gateways may have used the quota without this gateway's knowledge.
     Empty,
 }
 
 impl FallbackAllowance {
-    /// Returns a new allowance, where `remaining` is the quota left by the last reading.
+    /// Returns a new allowance. `remaining` is the quota that remained at the last reading.
     pub(crate) fn new(start: FallbackStart, remaining: f64, share: QuotaShare<'_>, now: Millis) -> Self {
         let units = match start {
             FallbackStart::LastReading => remaining.max(0.0) / share.gateways,
@@ -30,7 +31,7 @@
         Self { units, updated_at: now }
     }
 
-    /// Refills the allowance, and spends `units` of it if they fit. Returns whether they did.
+    /// Refills the allowance and spends `units` if it has as many. Returns whether they were spent.
     pub(crate) fn spend(&mut self, units: f64, share: QuotaShare<'_>, now: Millis) -> bool {
         let plan = share.plan;
         let refilled = self.units + plan.rate * (now - self.updated_at) / 1000.0 / share.gateways;
--- a/policy/src/quota/gate.rs
+++ b/policy/src/quota/gate.rs
@@ -15,7 +15,7 @@
 use crate::{Action, FleetTime, Millis, Name, QuotaPlan, RequestId, Settings};
 use std::collections::BTreeMap;
 
-/// The least units that are reported or returned on their own.
+/// Usage or returned units below this amount are not worth a counter call of their own.
 const MIN_REPORTED_UNITS: f64 = 1.0;
 
 /// The admission gate of one gateway.
@@ -26,7 +26,7 @@
     low_quota: LowQuotaTenants,
     calls: CounterCalls,
     clock: WindowClock,
-    /// No more requests arrive: leased units are returned.
+    /// Whether this gateway is draining: leased units are returned.
     draining: bool,
 }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Notes a request that arrived.
+    /// Records a request that arrived, and adds its tenant if it is unknown.
     pub(crate) fn record_arrival(&mut self, request: &QuotaRequest, arrival: &TenantArrival, now: Millis) {
         let plan = &self.plans[request.plan];
         let is_new = !self.tenants.contains_key(&request.tenant);
@@ -57,12 +57,13 @@
         }
     }
 
-    /// Notes what the host knows of the fleet's clock by now.
+    /// Updates what is known of the fleet's clock.
     pub(crate) fn update_fleet_time(&mut self, time: FleetTime, now: Millis) {
         self.clock.update(time, now);
     }
 
-    /// Notes that earlier counts cannot be found: whatever is not known of a quota is taken as spent.
+    /// Records that earlier counts can no longer be read: quota beyond the leased units is assumed to be
+    /// spent.
     pub(crate) fn lose_counts(&mut self, now: Millis) {
         self.clock.lose_counts(now);
         for tenant in self.tenants.values_mut() {
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Notes that the process goes on after a pause. Readings of windows that ended meanwhile say nothing of
-    /// what other gateways spent since, as for a gateway that joins a running fleet.
+    /// Records that the process resumed after a pause. Readings of windows that ended during the pause do not
+    /// show what other gateways spent since, so the gateway starts as if it had just joined the fleet.
     pub(crate) fn resume(&mut self, now: Millis) {
         self.clock.rejoin(now);
         self.calls.resume(now);
@@ -86,19 +87,19 @@
         }
     }
 
-    /// Notes a message from another gateway.
+    /// Applies a gossip message from another gateway.
     pub(crate) fn record_gossip(&mut self, bytes: &[u8], now: Millis) {
         self.low_quota.record_gossip(bytes, now);
     }
 
-    /// Notes that no more requests arrive.
+    /// Starts draining: from now on leases are returned and only as many units leased as requests need.
     pub(crate) fn start_drain(&mut self) {
         self.draining = true;
     }
 
     // ---- Decisions ----
 
-    /// Decides for a request, or returns `None` if its tenant is unknown.
+    /// Decides whether to admit a request, or returns `None` if its tenant is unknown.
     pub(crate) fn admit(
         &mut self, request: &QuotaRequest, now: Millis, random: &mut Random, actions: &mut Vec<Action>,
     ) -> Option<(QuotaDecision, QuotaSource)> {
@@ -130,11 +131,12 @@
         Some((decision, QuotaSource::Counter))
     }
 
-    /// Decides for a request of a low-quota tenant. A fresh reading decides; otherwise the counter is read,
-    /// as far as it keeps up, and the cached ratio decides for the rest. Clients' retries are not new demand.
+    /// Decides whether to admit a request of a low-quota tenant. With a fresh reading the cached admit ratio
+    /// decides. Otherwise the request waits for a counter call if the call ratio allows one, and if not, the
+    /// cached ratio decides. Clients' retries do not count as new demand.
     fn admit_low_quota(&mut self, request: &QuotaRequest, now: Millis, random: &mut Random) -> QuotaDecision {
         let sampled = random.uniform() < self.calls.call_ratio();
-        // While the counter cannot keep up with all calls, those for retries are left out: they report no
+        // While the counter cannot keep up with all calls, none are made for retries, as they report no
         // demand.
         let wants_call = if request.client_retry { self.calls.call_ratio() >= 1.0 } else { sampled };
         let may_call = self.is_counter_usable() && wants_call;
@@ -151,8 +153,8 @@
         self.admit_by_ratio(request, now, random).unwrap_or(QuotaDecision::Wait)
     }
 
-    /// Decides for a request of a low-quota tenant by the cached admit ratio, or returns `None` if its tenant
-    /// is unknown.
+    /// Decides whether to admit a request of a low-quota tenant by the cached admit ratio, or returns `None`
+    /// if its tenant is unknown.
     pub(crate) fn admit_by_ratio(
         &mut self, request: &QuotaRequest, now: Millis, random: &mut Random,
     ) -> Option<QuotaDecision> {
@@ -171,7 +173,8 @@
         })
     }
 
-    /// Decides for a request while the counter does not reply, or returns `None` if its tenant is unknown.
+    /// Decides whether to admit a request without a reply from the counter, or returns `None` if its tenant
+    /// is unknown.
     pub(crate) fn admit_from_fallback(
         &mut self, request: &QuotaRequest, now: Millis, random: &mut Random,
     ) -> Option<QuotaDecision> {
@@ -198,35 +201,35 @@
         max_in_flight == 0 || self.tenants.get(tenant).is_none_or(|tenant| tenant.has_capacity(max_in_flight))
     }
 
-    /// Notes that an attempt is forwarded.
+    /// Records that an attempt is forwarded.
     pub(crate) fn attempt_forwarded(&mut self, tenant: &Name) {
         if let Some(tenant) = self.tenants.get_mut(tenant) {
             tenant.attempt_forwarded();
         }
     }
 
-    /// Notes that an attempt is no longer in flight.
+    /// Records that an attempt is no longer in flight.
     pub(crate) fn attempt_ended(&mut self, tenant: &Name) {
         if let Some(tenant) = self.tenants.get_mut(tenant) {
             tenant.attempt_ended();
         }
     }
 
-    /// Corrects the use of a request by what it turned out to be.
+    /// Corrects the recorded usage of a request from `units` to `actual_units`.
     pub(crate) fn settle_usage(&mut self, tenant: &Name, units: f64, actual_units: f64) {
         if let Some(tenant) = self.tenants.get_mut(tenant) {
             tenant.lease.record_unleased_usage(actual_units - units);
         }
     }
 
-    /// Takes back the units of a request that was admitted but not forwarded.
+    /// Adds the units of a request that was admitted but not forwarded back to the lease.
     pub(crate) fn refund(&mut self, tenant: &Name, units: f64) {
         if let Some(tenant) = self.tenants.get_mut(tenant) {
             tenant.lease.refund(units);
         }
     }
 
-    /// Notes that a request no longer waits for a reply.
+    /// Removes a request from those that wait for a counter reply.
     pub(crate) fn stop_waiting(&mut self, tenant: &Name, id: RequestId) {
         if let Some(tenant) = self.tenants.get_mut(tenant) {
             tenant.remove_waiting(id);
@@ -243,8 +246,8 @@
         !self.is_counter_usable() || self.calls.is_unavailable(now)
     }
 
-    /// Polls the counter for a tenant while it is unavailable, one call at a time and as far as back-pressure
-    /// allows.
+    /// Calls the unavailable counter for a tenant, to detect its recovery: only while no other call is in
+    /// flight, and with the call ratio as the probability.
     pub(crate) fn poll_counter(
         &mut self, tenant: &Name, now: Millis, random: &mut Random, actions: &mut Vec<Action>,
     ) {
@@ -253,8 +256,8 @@
         }
     }
 
-    /// Adds a block to a tenant's count. There is one call in flight for each tenant, and a bound on all of
-    /// them.
+    /// Calls the counter to lease a block and to report usage, unless the counter is not usable yet, the
+    /// tenant has a pending call, or the limit of calls in flight is reached.
     pub(crate) fn request_block(&mut self, name: &Name, now: Millis, actions: &mut Vec<Action>) {
         let may_call = self.is_counter_usable() && !self.clock.is_pending() && !self.calls.is_full();
         let now = self.clock.now(now);
@@ -276,7 +279,7 @@
 
     // ---- Maintenance ----
 
-    /// Returns unused leases, reports usage, and drops idle tenants.
+    /// Returns unused leases, reports usage, and removes idle tenants.
     pub(crate) fn maintain(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.low_quota.evict_expired(now);
         let window_now = self.clock.now(now);
--- a/policy/src/quota/gate/counter_reply.rs
+++ b/policy/src/quota/gate/counter_reply.rs
@@ -1,4 +1,4 @@
-//! Counter replies at the gate: each ends a call, and updates the lease or the admit ratio of its tenant.
+//! Handles counter replies and failed counter calls: updates the lease or the admit ratio of the tenant.
 
 use super::super::ReplyOutcome;
 use super::super::counter_calls::{CallInFlight, CallKind};
@@ -9,7 +9,7 @@
 use crate::{Action, CounterResult, Millis, Name};
 
 impl QuotaGate {
-    /// Handles the end of a counter call.
+    /// Handles the end of a counter call, with a total or without.
     pub(crate) fn on_counter_reply(
         &mut self, key: u64, result: CounterResult, latency: Millis, now: Millis, actions: &mut Vec<Action>,
     ) -> ReplyOutcome {
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Without the total of the window before, other gateways are taken to have left an even part of the
-    /// burst.
+    /// Handles the end of a read of the previous window's total. If the read failed, the other gateways are
+    /// assumed to have used all but an equal part of the burst.
     fn on_previous_total(&mut self, name: &Name, total: Option<f64>, now: Millis) -> ReplyOutcome {
         let Some(tenant) = self.tenants.get_mut(name) else { return ReplyOutcome::Nothing };
         let share = tenant.share(&self.plans);
@@ -91,13 +91,13 @@
         }
     }
 
-    /// Without a total the fallback decides for the requests that wait, and a block that may have been added
-    /// is lost.
+    /// Handles an increment without a total: the fallback decides the waiting requests, and a block that may
+    /// have been added is given up.
     fn on_increment_failed(&mut self, name: &Name, result: CounterResult) -> ReplyOutcome {
         let Some(tenant) = self.tenants.get_mut(name) else { return ReplyOutcome::Nothing };
         if let Some(increment) = tenant.take_pending_increment() {
-            // Usage that may have been added is added once more, but units that may have been returned are
-            // not returned twice: the count may be too high, never too low.
+            // If the increment may have been applied, usage is reported again but returned units are not, so
+            // that the count may be too high but never too low.
             let unreported = increment.unreported;
             let may_be_added = result == CounterResult::Unknown;
             tenant.lease.add_unreported(if may_be_added { unreported.max(0.0) } else { unreported });
--- a/policy/src/quota/lease.rs
+++ b/policy/src/quota/lease.rs
@@ -1,8 +1,9 @@
-//! The lease cache of one tenant: units leased from the shared counter, and what is known of the quota left.
+//! The lease cache of one tenant: units leased from the shared counter, and an estimate of the remaining
+//! quota.
 //!
-//! A gateway leases a block of units by adding it to the count of the present window, and spends the block
-//! locally. The total that is returned shows what all gateways have leased. Between readings the remaining
-//! quota refills at the plan's rate. Leased units expire with their window.
+//! A gateway leases a block of units by adding it to the count of the current window, and spends the block
+//! locally. The returned total shows what all gateways have leased. Between readings the remaining quota
+//! refills at the plan's rate. Leased units expire at the end of their window.
 
 use super::ceiling;
 use super::decayed_count::decayed;
@@ -12,33 +13,33 @@
 use super::window::{Now, WindowNumber};
 use crate::{Millis, QuotaPlan};
 
-/// A block holds the demand of this fraction of a refill period. A block that is unused for as long is
-/// returned, so that other gateways can use it.
+/// A block covers the demand of this fraction of a refill period. While the quota is scarce, a block that is
+/// unused for this time is returned for other gateways to use.
 pub(super) const BLOCK_FRACTION: f64 = 0.15;
 /// A block is at most this fraction of the remaining quota, divided by the tenant's gateways.
 const MAX_BLOCK_FRACTION: f64 = 0.5;
 /// The quota is scarce while less than this fraction of the burst remains. While more remains, a block is at
-/// least an even part of what is above it.
+/// least an equal part of the excess for each gateway.
 const SCARCE_FRACTION: f64 = 0.5;
-/// A block is renewed when less than this fraction of it is left.
+/// A new block is requested when less than this fraction of a block is left.
 const RENEWAL_THRESHOLD: f64 = 0.4;
-/// Totals that differ by less are equal: the counter is exact to a limited number of digits.
+/// Totals that differ by less are considered equal, as the counter has a limited number of digits.
 const TOTAL_TOLERANCE: f64 = 1e-6;
 
-/// The total of a window that is over.
+/// The total of a window that has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WindowTotal {
     pub(crate) window: WindowNumber,
     pub(crate) total: f64,
 }
 
-/// What one counter call adds to the count of a window, in units.
+/// The units that one counter call adds to the count of a window.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Increment {
     pub(crate) window: WindowNumber,
-    /// The lease block; of a low-quota tenant, the demand of the waiting requests.
+    /// The lease block, or for a low-quota tenant the demand of the waiting requests.
     pub(crate) block: f64,
-    /// The usage that had not been reported before; negative if units are returned.
+    /// Usage that was not reported before; negative if units are returned.
     pub(crate) unreported: f64,
 }
 
@@ -54,23 +55,23 @@
 #[derive(Debug)]
 pub(crate) struct LeaseCache {
     window: WindowNumber,
-    /// Leased units that are not spent yet; they expire with the window.
+    /// Leased units that are not spent yet; they expire at the end of the window.
     leased: f64,
-    /// What this gateway has added to the count of the window.
+    /// The units that this gateway has added to the count of the window.
     added: f64,
     /// The last total of the window's count.
     last_total: f64,
-    /// The quota that is left by all totals so far; it refills in between.
+    /// The remaining quota without leased units, estimated from the totals so far and refilled between them.
     remaining: f64,
     refilled_at: Millis,
-    /// Whether there has been a reading that still holds.
+    /// Whether there has been a reading that is still valid.
     has_reading: bool,
     last_reply_at: Millis,
-    /// Units used but not added to a count yet; negative if units are to be returned.
+    /// Units used but not yet added to the count; negative if units are to be returned.
     unreported: f64,
-    /// The total of the window before, read from the counter.
+    /// The total of the previous window, read from the counter.
     previous_total: Option<WindowTotal>,
-    /// The last total that a reply in an earlier window returned.
+    /// The last total that this gateway received in an earlier window.
     last_earlier_total: Option<WindowTotal>,
 }
 
@@ -91,8 +92,7 @@
         }
     }
 
-    /// Refills the remaining quota and moves on to the present window, in which older leased units have
-    /// expired.
+    /// Refills the remaining quota. If a new window has begun, expires the leased units of the old one.
     pub(super) fn advance(&mut self, now: Now, share: QuotaShare<'_>) {
         let elapsed = now.local - self.refilled_at;
         if share.is_low_quota() {
@@ -133,18 +133,18 @@
         self.has_reading
     }
 
-    /// Notes that there has been a reading. Returns whether it is the first.
+    /// Records that there has been a reading. Returns whether there was no valid reading before.
     pub(super) fn record_reading(&mut self) -> bool {
         !std::mem::replace(&mut self.has_reading, true)
     }
 
-    /// Takes the remaining quota for known.
+    /// Sets the remaining quota to an assumed value, at most the initial quota, as if it had been read.
     pub(super) fn assume_reading(&mut self, remaining: f64, plan: &QuotaPlan) {
         self.remaining = remaining.min(ceiling::initial_quota(plan));
         self.has_reading = true;
     }
 
-    /// Discards what the readings so far say of the remaining quota.
+    /// Marks the readings so far as invalid.
     pub(super) fn forget_reading(&mut self) {
         self.has_reading = false;
     }
@@ -154,12 +154,12 @@
         self.remaining + self.leased
     }
 
-    /// Returns whether less than a fraction of the burst remains, so that unused units are returned.
+    /// Returns whether so little quota remains that unused units should be returned.
     pub(super) fn is_scarce(&self, share: QuotaShare<'_>) -> bool {
         self.remaining < share.plan.burst * SCARCE_FRACTION
     }
 
-    /// Spends leased units if there are enough.
+    /// Spends leased units if there are enough. Returns whether they were spent.
     pub(super) fn spend(&mut self, units: f64) -> bool {
         let fits = self.leased >= units;
         if fits {
@@ -168,28 +168,28 @@
         fits
     }
 
-    /// Takes back units of a request that was not forwarded.
+    /// Adds units of a request that was not forwarded back to the lease.
     pub(super) fn refund(&mut self, units: f64) {
         self.leased += units;
     }
 
-    /// Notes units that are used without a lease.
+    /// Records units that are used without a lease.
     pub(super) fn record_unleased_usage(&mut self, units: f64) {
         self.unreported += units;
         self.remaining -= units;
     }
 
-    /// Adds to the usage that the next call reports, without a change of the remaining quota.
+    /// Adds to the usage that the next call reports, without changing the remaining quota.
     pub(super) fn add_unreported(&mut self, units: f64) {
         self.unreported += units;
     }
 
-    /// Takes the unreported usage out, to add it to the count.
+    /// Returns the unreported usage and resets it to zero.
     pub(super) fn take_unreported(&mut self) -> f64 {
         std::mem::take(&mut self.unreported)
     }
 
-    /// Returns all leased units to the count, with the next call.
+    /// Gives up all leased units: the next call subtracts them from the count.
     pub(super) fn return_lease(&mut self) {
         let leased = std::mem::take(&mut self.leased);
         self.unreported -= leased;
@@ -205,20 +205,21 @@
         self.previous_total = Some(WindowTotal { window, total });
     }
 
-    /// Returns the smoothed demand of a block's time, as far as the remaining quota allows.
+    /// Returns the size of a block for the smoothed demand, limited by the remaining quota.
     pub(super) fn block_for_demand(&self, demand: &Demand, share: QuotaShare<'_>) -> f64 {
         let wanted = demand.rate * share.refill_period() * BLOCK_FRACTION;
         wanted.min(self.remaining * MAX_BLOCK_FRACTION / share.gateways).floor()
     }
 
-    /// Returns whether the lease block should be renewed.
+    /// Returns whether to request a new block.
     pub(super) fn needs_renewal(&self, demand: &Demand, share: QuotaShare<'_>) -> bool {
         let block = self.block_for_demand(demand, share);
         block >= 1.0 && self.leased < block * RENEWAL_THRESHOLD
     }
 
-    /// Returns the size of the next block: an even part while much of the quota remains (so the first is the
-    /// burst divided by the gateways), else the smoothed demand, and at least what waiting requests need.
+    /// Returns the size of the next block: at least `needed`, the units of the waiting requests, and at least
+    /// the block for the smoothed demand. While the quota is not scarce, it is also at least an equal part of
+    /// the excess. The first block is the burst divided by the gateways.
     pub(super) fn next_block(&self, needed: f64, demand: &Demand, share: QuotaShare<'_>) -> f64 {
         let plan = share.plan;
         let wanted = if self.has_reading {
@@ -230,17 +231,18 @@
         needed.max(wanted.floor()).max(0.0)
     }
 
-    /// Applies the reply to an increment: updates the remaining quota, keeps of the block what fits, and
-    /// returns the rest. `fallback` is the allowance that was spent before the reply, `recovered_at` the end
-    /// of the counter's last unavailability.
+    /// Applies the reply to an increment: updates the remaining quota and leases the block, except for units
+    /// that exceed the quota. `fallback` is the allowance that was in use before the reply, `recovered_at`
+    /// the time when the counter was last detected to have recovered.
     pub(super) fn apply_reply(
         &mut self, reply: IncrementReply, fallback: Option<FallbackAllowance>, recovered_at: Millis,
         now: Now, share: QuotaShare<'_>,
     ) {
         self.advance(now, share);
         if share.plan.ceiling_rate > 0.0 && self.has_reading && self.last_reply_at < recovered_at {
-            // The counter may have lost its counts while it was unavailable, so what other gateways spent is
-            // not in the total. Only this gateway's allowance, or the initial quota, is surely left.
+            // The counter may have lost its counts while it was unavailable, so the total may not include
+            // what other gateways spent. Only this gateway's allowance, or the initial quota, is certain to
+            // remain.
             let guaranteed = fallback.map_or(ceiling::initial_quota(share.plan), |fallback| fallback.units);
             self.remaining = self.remaining.min(guaranteed);
         }
@@ -256,19 +258,19 @@
     ) {
         let IncrementReply { increment, total } = reply;
         let block = increment.block;
-        // What the fallback admitted during the call is paid from the block, as the block has been added.
+        // The block has been added to the count, so it covers what the fallback admitted during the call.
         let covered = self.unreported.clamp(0.0, block);
         self.unreported -= covered;
         self.remaining += covered;
         self.added += block + increment.unreported;
         if self.record_reading() {
-            // The total covers the present window alone, which may have begun just now, so the fallback
-            // allowance bounds the quota as well.
+            // The total covers only the current window, which may have just begun, so the remaining quota is
+            // also limited by the fallback allowance.
             let bound = fallback.map_or(f64::INFINITY, |fallback| fallback.units * share.gateways);
             self.remaining = self.remaining_by_first_total(reply, now, share).min(bound);
         } else if total + TOTAL_TOLERANCE < self.added {
-            // The counter lost its counts: what this gateway holds is added again, so that new blocks of
-            // other gateways do not come on top of it.
+            // The counter lost its counts. This gateway adds its units again, so that other gateways do not
+            // lease the same quota.
             self.unreported += self.added - total;
             self.remaining -= block;
         } else {
@@ -280,7 +282,7 @@
         self.return_excess(block);
     }
 
-    /// Returns units of the newest block that exceed the quota.
+    /// Gives up units of the newest block that exceed the quota.
     fn return_excess(&mut self, block: f64) {
         if self.remaining < 0.0 {
             let excess = self.leased.min((-self.remaining).ceil()).min(block);
@@ -290,24 +292,24 @@
         }
     }
 
-    /// Returns the quota left by the first total of a window and, if it is known, the total of the window
-    /// before.
+    /// Estimates the remaining quota from the first total of a window and, if it is known, the total of the
+    /// previous window.
     fn remaining_by_first_total(&self, reply: IncrementReply, now: Now, share: QuotaShare<'_>) -> f64 {
         let IncrementReply { increment: Increment { window, unreported, .. }, total } = reply;
         let plan = share.plan;
         let remaining_in_window = ceiling::initial_quota(plan) - total;
         let previous = self.previous_total.filter(|previous| previous.window.wrapping_add(1) == window);
         let Some(previous) = previous else { return remaining_in_window };
-        // The units of the window before may all have been used at its end, with no refill since.
+        // All units of the previous window may have been used at its end, with no refill since.
         let remaining_at_start = (plan.burst - previous.total).clamp(0.0, plan.burst);
         let refilled = plan.rate * share.schedule().elapsed(window, now) / 1000.0;
         let lower_bound = remaining_in_window.min(remaining_at_start + refilled - total);
-        // Under a ceiling no more than the totals show is taken for left.
+        // Under a ceiling only the lower bound from the totals is used.
         let last_seen = self
             .last_earlier_total
             .filter(|last_seen| last_seen.window == previous.window && plan.ceiling_rate <= 0.0);
         last_seen.map_or(lower_bound, |last_seen| {
-            // This gateway knows the quota as of its last reply, and what was used since.
+            // This gateway knows the remaining quota at its last reply, and from the totals the usage since.
             let used_by_others = previous.total - last_seen.total + total - unreported;
             lower_bound.max(self.remaining - used_by_others.max(0.0))
         })
--- a/policy/src/quota/low_quota.rs
+++ b/policy/src/quota/low_quota.rs
@@ -1,9 +1,9 @@
-//! Tenants whose quota leaves a gateway less than a unit.
+//! Admission for low-quota tenants, whose burst is less than one unit for each gateway.
 //!
-//! Blocks of such a quota would serve no request. Instead each tenant's demand over all gateways is counted
-//! as a decaying sum ([`decayed_count`](super::decayed_count)), and each gateway admits the fraction of
-//! requests that fits the quota by its total. Between readings the fraction is cached, and decays to what is
-//! typical of the tenant's plan.
+//! A lease block of such a quota would admit no request. Instead the tenant's demand at all gateways is
+//! counted as a decaying sum ([`decayed_count`](super::decayed_count)), and each gateway admits the fraction
+//! of requests that fits the quota (the admit ratio). Between readings the ratio is cached, and converges to
+//! the typical ratio of the tenant's plan.
 
 use super::decayed_count::{admit_ratio, decayed};
 use super::lease::Increment;
@@ -14,30 +14,31 @@
 use crate::{Action, Millis};
 use std::collections::BTreeMap;
 
-/// A reading is fresh for this fraction of a refill period; demand in between is reported with the next call.
+/// A reading is fresh for this fraction of a refill period. Demand in this time is reported with the next
+/// call.
 const FRESH_FRACTION: f64 = 0.25;
-/// The exponent of the admit ratio: more than 1, as no count includes all demand.
+/// The exponent of the admit ratio: more than 1, as the count never includes all demand.
 const ADMIT_RATIO_EXPONENT: f64 = 2.5;
-/// A cached admit ratio decays to that of the plan over this many refill periods.
+/// The time constant with which a cached admit ratio converges to that of the plan, in refill periods.
 const RATIO_DECAY_PERIODS: f64 = 4.0;
-/// The weight of the newest first reading in a plan's typical admit ratio.
+/// The weight of a new tenant's first reading in the moving average of its plan's admit ratio.
 const NEWEST_RATIO_WEIGHT: f64 = 0.03;
-/// Gateways that may gossip report an admit ratio below this, and again when it falls by this factor or a
-/// refill period has passed.
+/// If gossip is enabled, a gateway sends an admit ratio below this value, provided that the ratio fell by
+/// this factor or that the cached ratio is more than a refill period old.
 const GOSSIP_THRESHOLD: f64 = 0.7;
-/// The admit ratio is sent in one byte.
+/// The factor by which the admit ratio is encoded into one byte of a gossip message.
 const GOSSIP_RATIO_SCALE: f64 = 255.0;
-/// The position of the admit ratio in a message; the name hash before it leaves this byte free.
+/// The position of the admit ratio in a gossip message. The little-endian name hash leaves this byte free.
 const GOSSIP_RATIO_BYTE: usize = 7;
 
-/// The fraction of a tenant's requests that fits its quota, as last read here or by another gateway.
+/// The last admit ratio of a tenant, from a reading of this gateway or from gossip.
 #[derive(Clone, Copy, Debug, Default)]
 struct CachedAdmitRatio {
     ratio: f64,
     updated_at: Millis,
 }
 
-/// The typical admit ratio of a plan's tenants at their first reading.
+/// The typical admit ratios of a plan: moving averages over the first readings of its tenants.
 #[derive(Clone, Copy, Debug)]
 struct PlanAdmitRatios {
     first_attempts: f64,
@@ -56,11 +57,11 @@
     pub(super) increment: Increment,
     /// The total after the increment.
     pub(super) total: f64,
-    /// The call ratio by now; the block was divided by the one at the time of the call.
+    /// The call ratio at the time of the reply; the block was divided by the one at the time of the call.
     pub(super) call_ratio: f64,
 }
 
-/// Whether a request may be admitted without a reading of its own.
+/// The decision on a request by a cached or typical admit ratio.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct RatioDecision {
     pub(super) admitted: bool,
@@ -71,7 +72,7 @@
 #[derive(Debug)]
 pub(super) struct LowQuotaTenants {
     by_plan: Vec<PlanAdmitRatios>,
-    /// By the hash of the tenant's name.
+    /// Admit ratios of tenants, by the hash of the tenant's name.
     by_name_hash: BTreeMap<u64, CachedAdmitRatio>,
     gossip: bool,
 }
@@ -87,9 +88,9 @@
         self.by_name_hash.get(&name_hash).is_some_and(|cached| now - cached.updated_at < freshness)
     }
 
-    /// Decides for a request by the cached ratio, which decays to that of the plan. Of a tenant without a
-    /// reading all is admitted while that gains more than it costs. A client's retries are admitted only
-    /// while all requests fit: otherwise rejected requests would return until they are admitted.
+    /// Decides whether to admit a request by the cached ratio, which converges to the typical ratio of the
+    /// plan. For clients' retries a cached ratio below 1 counts as 0, as rejected requests would otherwise be
+    /// retried until they are admitted. `draw` is a random number from 0 to 1.
     pub(super) fn decide(
         &self, name_hash: u64, plan: PlanIndex, client_retry: bool, share: QuotaShare<'_>, draw: f64,
         now: Millis,
@@ -104,6 +105,8 @@
         RatioDecision { admitted, reading }
     }
 
+    /// Returns the typical ratio of a plan. For first attempts it is 1 while admitting all requests is worth
+    /// more than the requests over quota cost.
     fn typical_ratio(&self, plan: PlanIndex, client_retry: bool, share: QuotaShare<'_>) -> f64 {
         let typical = self.by_plan[plan];
         if client_retry {
@@ -114,7 +117,8 @@
         if ratio > (1.0 - ratio) * cost { 1.0 } else { ratio }
     }
 
-    /// Caches and returns the admit ratio that follows from a total, and gossips about it if it is news.
+    /// Computes the admit ratio from a total, caches and returns it, and sends it as gossip if it has fallen
+    /// or is due again.
     pub(super) fn record_total(
         &mut self, name_hash: u64, reply: LowQuotaReply, share: QuotaShare<'_>, now: Now,
         actions: &mut Vec<Action>,
@@ -122,8 +126,8 @@
         let refill_period = share.refill_period();
         let Increment { window, block, .. } = reply.increment;
         let elapsed = share.schedule().elapsed(window, now);
-        // The block stands for requests without a call as well; their part does not count against those that
-        // waited for this reply.
+        // The block was scaled up for requests that made no call. That part is subtracted, so that it does
+        // not count against the requests that waited for this reply.
         let extrapolated = block - block * reply.call_ratio;
         let demand = (decayed(reply.total, elapsed, refill_period) - extrapolated).max(0.0);
         let ratio = admit_ratio(demand, share.plan.burst, ADMIT_RATIO_EXPONENT);
@@ -144,14 +148,14 @@
         *typical += NEWEST_RATIO_WEIGHT * (ratio - *typical);
     }
 
-    /// Caches an admit ratio that another gateway reports; messages of another form are ignored.
+    /// Caches the admit ratio in a gossip message. Messages of any other length are ignored.
     pub(super) fn record_gossip(&mut self, bytes: &[u8], now: Millis) {
         let Ok(mut bytes) = <[u8; 8]>::try_from(bytes) else { return };
         let ratio = f64::from(std::mem::take(&mut bytes[GOSSIP_RATIO_BYTE])) / GOSSIP_RATIO_SCALE;
         self.by_name_hash.insert(u64::from_le_bytes(bytes), CachedAdmitRatio { ratio, updated_at: now });
     }
 
-    /// Drops cached ratios that are too old to matter.
+    /// Removes cached ratios that are older than [`MAX_RETENTION`].
     pub(super) fn evict_expired(&mut self, now: Millis) {
         self.by_name_hash.retain(|_, cached| now - cached.updated_at < MAX_RETENTION);
     }
--- a/policy/src/quota/mod.rs
+++ b/policy/src/quota/mod.rs
@@ -1,10 +1,10 @@
-//! The admission gate: requests are admitted from leased units, then from the fallback allowance, or
-//! rejected.
+//! The admission gate: admits requests from leased units or the fallback allowance, and rejects the rest.
 //!
-//! A gateway holds a cache of expiring leases on a count that all gateways share through a counter, one count
-//! for each tenant and window ([`lease`]). While the counter is unavailable, each gateway spends an even part
-//! of the quota ([`fallback`]). Tenants whose quota leaves a gateway less than a unit have no leases
-//! ([`low_quota`]).
+//! The gateways share one count for each tenant and window, kept by a counter. A gateway leases units by
+//! adding a block to the count, and spends them until the window ends ([`lease`]). The total that the counter
+//! returns is a reading of the tenant's usage at all gateways. While the counter is unavailable, each gateway
+//! admits an equal part of the quota ([`fallback`]). Tenants whose burst is less than one unit for each
+//! gateway have no leases ([`low_quota`]).
 
 mod ceiling;
 mod counter_call;
@@ -27,9 +27,9 @@
 use crate::{Millis, Name, RequestId};
 use std::collections::VecDeque;
 
-/// A tenant that is idle for this many refill periods has its full quota again: it and its count are dropped.
+/// After this many idle refill periods a tenant has its full quota again, so it and its count are removed.
 const IDLE_PERIODS: f64 = 2.0;
-/// No count and no reading of a tenant is kept for longer.
+/// The longest time for which counts and admit ratios of a tenant are kept.
 const MAX_RETENTION: Millis = 60_000.0;
 
 /// What the gate needs to know of a request.
@@ -42,25 +42,25 @@
     pub(crate) client_retry: bool,
 }
 
-/// Whether a request was admitted by what is known of its tenant's quota.
+/// Whether there was a reading of the tenant's quota when a request was admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum QuotaReading {
     Known,
-    /// Its low-quota tenant has no cached admit ratio: what is typical of the plan decided.
+    /// The low-quota tenant has no cached admit ratio, so the typical ratio of its plan decided.
     Missing,
 }
 
-/// What the gate decides for a request.
+/// The gate's decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum QuotaDecision {
     Admit(QuotaReading),
-    /// Wait for a reply of the counter.
+    /// The request waits for a counter reply.
     Wait,
-    /// Reject as over quota.
+    /// The request is over quota.
     Reject(QuotaShortfall),
 }
 
-/// What a request lacks that is over quota.
+/// The units that an over-quota request lacks, and the rate at which they refill.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct QuotaShortfall {
     pub(crate) missing_units: f64,
@@ -68,24 +68,24 @@
     pub(crate) refill_rate: f64,
 }
 
-/// Whether the gate could decide with the counter.
+/// Whether the gate decided with the counter or without it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum QuotaSource {
     Counter,
-    /// The counter is unavailable, and the fallback allowance decided. The engine may then poll the counter,
-    /// to notice its recovery.
+    /// The counter is unavailable and the fallback allowance decided. The engine may then poll the counter to
+    /// detect its recovery.
     Fallback,
 }
 
-/// The requests that a reply of the counter, or its failure, leaves to be decided.
+/// The result of a counter call, with the waiting requests that can now be decided.
 #[derive(Debug)]
 pub(crate) enum ReplyOutcome {
-    /// Nothing is to be decided.
+    /// There is no request to decide.
     Nothing,
     /// The lease has changed.
     LeaseUpdated { tenant: Name, waiting: VecDeque<WaitingRequest>, returns_units: bool },
     /// The admit ratio of a low-quota tenant has changed.
     RatioUpdated { waiting: VecDeque<WaitingRequest> },
-    /// There was no total.
+    /// The call returned no total.
     Failed { waiting: VecDeque<WaitingRequest> },
 }
--- a/policy/src/quota/share.rs
+++ b/policy/src/quota/share.rs
@@ -1,5 +1,5 @@
-//! A tenant's quota as its gateways share it: refill period, window schedule, and whether it is too low for
-//! leases.
+//! A tenant's quota and how its gateways share it: refill period, window schedule, and whether the quota is
+//! too low for leases.
 
 use super::MAX_RETENTION;
 use super::decayed_count;
@@ -8,11 +8,11 @@
 
 /// The refill period of a plan without a rate.
 const DEFAULT_REFILL_PERIOD: Millis = 1000.0;
-/// A tenant has a low quota if its burst leaves each gateway fewer units than this: a smaller block serves no
-/// request.
+/// A tenant has a low quota if its burst divided by its gateways is less than this: a block of less than one
+/// unit admits no request.
 const LOW_QUOTA_UNITS_PER_GATEWAY: f64 = 1.0;
 
-/// A tenant's quota as it is shared by its gateways.
+/// A tenant's plan and the gateways that share its quota.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QuotaShare<'a> {
     pub(crate) plan: &'a QuotaPlan,
@@ -26,13 +26,13 @@
         Self { plan, gateways, name_hash }
     }
 
-    /// Returns the time in which the quota refills once: burst divided by rate.
+    /// Returns the time in which the rate refills a full burst.
     pub(crate) fn refill_period(&self) -> Millis {
         refill_period(self.plan)
     }
 
-    /// Returns whether the quota is too small for a lease at each gateway. Under a ceiling leases are used
-    /// anyway, as a low quota is kept on average only.
+    /// Returns whether the quota is too low for a lease at each gateway. Under a ceiling leases are used
+    /// regardless, as admit ratios enforce a quota only on average.
     pub(crate) fn is_low_quota(&self) -> bool {
         let plan = self.plan;
         let has_quota = plan.rate > 0.0 && plan.ceiling_rate <= 0.0;
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns the time in which a plan's quota refills once.
+/// Returns the time in which a plan's rate refills a full burst.
 pub(crate) fn refill_period(plan: &QuotaPlan) -> Millis {
     if plan.rate > 0.0 { plan.burst / plan.rate * 1000.0 } else { DEFAULT_REFILL_PERIOD }
 }
--- a/policy/src/quota/tenant.rs
+++ b/policy/src/quota/tenant.rs
@@ -1,4 +1,4 @@
-//! One tenant as this gateway knows it.
+//! The state of one tenant at this gateway.
 
 use super::demand::Demand;
 use super::fallback::{FallbackAllowance, FallbackStart};
@@ -11,10 +11,10 @@
 use crate::{Millis, QuotaPlan, RequestId};
 use std::collections::VecDeque;
 
-/// The highest bits of a name hash are 0, as a gossip message holds the admit ratio in their place.
+/// The number of high bits that are 0 in a name hash, as a gossip message has the admit ratio in their place.
 const RESERVED_HASH_BITS: u32 = 8;
 
-/// The position of this gateway among those that serve a tenant, as stated by a request.
+/// The gateways that serve a tenant and the position of this gateway among them, as given with a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TenantArrival {
     pub(crate) gateway_index: u32,
@@ -23,7 +23,7 @@
     pub(crate) gateways_per_tenant: u32,
 }
 
-/// A request that waits for a reply of the counter.
+/// A request that waits for a counter reply.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WaitingRequest {
     pub(crate) id: RequestId,
@@ -40,37 +40,37 @@
 /// The counter calls of one tenant that have not ended, or whose replies have not been applied.
 #[derive(Debug, Default)]
 struct PendingCalls {
-    /// What is being added.
+    /// The increment in flight.
     increment: Option<Increment>,
-    /// The window before the present one, while its total is being read.
+    /// The previous window, while its total is being read.
     previous_window: Option<WindowNumber>,
-    /// The reply to an increment that came before that total.
+    /// The reply to an increment that arrived before that total, and is applied after it.
     deferred_reply: Option<IncrementReply>,
 }
 
-/// One tenant.
+/// A tenant: its lease, its demand, and its calls and requests in progress.
 #[derive(Debug)]
 pub(crate) struct Tenant {
-    /// The plan of its first request.
+    /// The plan of the tenant's first request.
     plan: PlanIndex,
-    /// How many gateways serve it.
+    /// The number of gateways that serve the tenant.
     gateways: f64,
     /// The position of this gateway among them.
     position: u32,
-    /// A hash of the name, of which the highest byte is free.
+    /// A hash of the tenant's name, with the high [`RESERVED_HASH_BITS`] bits 0.
     name_hash: u64,
     pub(super) lease: LeaseCache,
     pub(super) demand: Demand,
-    /// The allowance spent while the counter is unavailable.
+    /// The allowance that is spent while the counter is unavailable.
     fallback: Option<FallbackAllowance>,
     pending: PendingCalls,
     waiting: VecDeque<WaitingRequest>,
-    /// Attempts in flight.
+    /// The number of attempts in flight.
     in_flight: u32,
 }
 
 impl Tenant {
-    /// Returns a tenant without a reading, which is taken to have `initial_quota` left.
+    /// Returns a tenant without a reading, whose remaining quota is assumed to be `initial_quota`.
     pub(crate) fn new(name: &str, plan: PlanIndex, initial_quota: f64, now: Millis) -> Self {
         Self {
             plan,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Notes a request that arrived: which gateways serve the tenant, and its demand.
+    /// Records a request that arrived: the gateways that serve the tenant, and its demand.
     pub(crate) fn record_arrival(
         &mut self, arrival: &TenantArrival, units: f64, plan: &QuotaPlan, now: Millis,
     ) {
@@ -97,25 +97,25 @@
         self.demand.record(units, refill_period(plan), now);
     }
 
-    /// Takes the quota as spent some time ago, and as refilling since.
+    /// Assumes that the quota was completely spent `time` ago and has refilled since.
     pub(crate) fn assume_spent(&mut self, time: Millis, plan: &QuotaPlan) {
         if !self.share_of(plan).is_low_quota() {
             self.lease.assume_reading(plan.rate * time / 1000.0, plan);
         }
     }
 
-    /// Returns the tenant's quota by the plan of its first request.
+    /// Returns the tenant's quota under the plan of its first request.
     pub(crate) fn share<'a>(&self, plans: &'a [QuotaPlan]) -> QuotaShare<'a> {
         self.share_of(&plans[self.plan])
     }
 
-    /// Returns the tenant's quota by a given plan.
+    /// Returns the tenant's quota under a given plan.
     pub(crate) fn share_of<'a>(&self, plan: &'a QuotaPlan) -> QuotaShare<'a> {
         QuotaShare::new(plan, self.gateways, self.name_hash)
     }
 
-    /// Returns whether another attempt fits under a limit of attempts in flight at all gateways together. The
-    /// gateways first in the tenant's order take what does not divide evenly.
+    /// Returns whether this gateway may have another attempt in flight. `max_in_flight` limits the attempts
+    /// at all gateways together; gateways at the first positions take the remainder of the division.
     pub(crate) fn has_capacity(&self, max_in_flight: u32) -> bool {
         let gateways = self.gateways as u32;
         let remainder = u32::from(self.position < max_in_flight % gateways);
@@ -130,20 +130,20 @@
         self.name_hash
     }
 
-    /// Notes that an attempt is forwarded.
+    /// Records that an attempt is forwarded.
     pub(crate) fn attempt_forwarded(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Notes that an attempt is no longer in flight.
+    /// Records that an attempt is no longer in flight.
     pub(crate) fn attempt_ended(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Spends units while the counter is unavailable, from an allowance that begins with the first request.
+    /// Spends units of the fallback allowance, which is created if there is none.
     ///
     /// # Errors
-    /// What is missing, if the allowance is too small.
+    /// Returns the shortfall if the allowance is too small.
     pub(crate) fn spend_fallback(
         &mut self, units: f64, start: FallbackStart, share: QuotaShare<'_>, now: Millis,
     ) -> Result<(), QuotaShortfall> {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Applies the reply to an increment, which ends the use of the fallback allowance.
+    /// Applies the reply to an increment, and discards the fallback allowance.
     pub(crate) fn apply_reply(
         &mut self, reply: IncrementReply, recovered_at: Millis, now: Now, share: QuotaShare<'_>,
     ) {
@@ -168,7 +168,7 @@
         self.lease.apply_reply(reply, fallback, recovered_at, now, share);
     }
 
-    /// Returns whether a call has not ended, or its reply has not been applied.
+    /// Returns whether a call has not ended or its reply has not been applied.
     pub(crate) fn has_pending_call(&self) -> bool {
         let PendingCalls { increment, previous_window, deferred_reply } = &self.pending;
         increment.is_some() || previous_window.is_some() || deferred_reply.is_some()
@@ -182,21 +182,21 @@
         self.pending.increment.take()
     }
 
-    /// Notes that the total of the window before the present one is being read.
+    /// Records that the total of the previous window is being read.
     pub(crate) fn set_pending_read(&mut self, previous_window: WindowNumber) {
         self.pending.previous_window = Some(previous_window);
     }
 
-    /// Notes the total of the window before, once its read has ended. Returns the reply to an increment that
-    /// was held for it.
+    /// Records the total of the previous window when its read ends. Returns the reply to an increment that
+    /// was deferred until then.
     pub(crate) fn complete_pending_read(&mut self, total: f64) -> Option<IncrementReply> {
         let window = self.pending.previous_window.take()?;
         self.lease.set_previous_total(window, total);
         self.pending.deferred_reply.take()
     }
 
-    /// Holds the reply to an increment while the total of the window before is being read. Returns the reply
-    /// if it can be applied now.
+    /// Defers the reply to an increment while the total of the previous window is being read. Returns the
+    /// reply if it can be applied now.
     pub(crate) fn defer_for_pending_read(&mut self, reply: IncrementReply) -> Option<IncrementReply> {
         if self.pending.previous_window.is_none() {
             return Some(reply);
@@ -205,7 +205,7 @@
         None
     }
 
-    /// Iterates over the requests that wait for a reply.
+    /// Iterates over the requests that wait for a counter reply.
     pub(crate) fn waiting(&self) -> impl Iterator<Item = &WaitingRequest> {
         self.waiting.iter()
     }
@@ -218,17 +218,17 @@
         std::mem::take(&mut self.waiting)
     }
 
-    /// Adds a request to those that wait for a reply.
+    /// Adds a request to those that wait for a counter reply.
     pub(crate) fn add_waiting(&mut self, request: &QuotaRequest) {
         self.waiting.push_back(request.into());
     }
 
-    /// Removes a request from those that wait for a reply.
+    /// Removes a request from those that wait for a counter reply.
     pub(crate) fn remove_waiting(&mut self, id: RequestId) {
         self.waiting.retain(|waiting| waiting.id != id);
     }
 
-    /// Returns whether something of the tenant is still in progress.
+    /// Returns whether the tenant has a pending call, an attempt in flight or a waiting request.
     pub(crate) fn is_busy(&self) -> bool {
         self.has_pending_call() || self.in_flight > 0 || !self.waiting.is_empty()
     }
--- a/policy/src/quota/window.rs
+++ b/policy/src/quota/window.rs
@@ -1,31 +1,32 @@
-//! Quota windows: the clock that determines them, their numbers, and their counter keys.
+//! Quota windows: the clock they are derived from, their numbers, and their counter keys.
 
 use crate::fleet_clock::CYCLE;
 use crate::hash::mix;
 use crate::random::WEYL_STEP;
 use crate::{FleetTime, Millis};
 
-/// The number of a window, counted from the beginning of the fleet clock's cycle.
+/// The number of a window, counted from the start of the fleet clock's cycle.
 pub(crate) type WindowNumber = u64;
 
-/// The number of different offsets by which the windows of different tenants are staggered.
+/// The number of distinct offsets by which the windows of different tenants are staggered.
 const STAGGER_STEPS: u64 = 1024;
 
-/// The present time, on this gateway's clock and on the one that the fleet shares.
+/// The current time on this gateway's clock and on the fleet's shared clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Now {
     pub(crate) local: Millis,
-    /// The time that determines windows.
+    /// The time that windows are derived from.
     pub(crate) fleet: Millis,
 }
 
-/// What this gateway knows of the fleet's clock.
+/// This gateway's view of the fleet's clock, and since when its counts are complete.
 #[derive(Debug)]
 pub(crate) struct WindowClock {
     fleet_time: FleetTime,
-    /// When this gateway started, or moved to a fleet's windows: what was counted before is not known to it.
+    /// When this gateway started, resumed, or switched to the fleet's windows. It has no reading of earlier
+    /// counts.
     joined_at: Millis,
-    /// When the counts of the time before could not be found any more.
+    /// When counts were last lost: those of earlier usage can no longer be read.
     counts_lost_at: Option<Millis>,
 }
 
@@ -34,7 +35,7 @@
         Self { fleet_time: FleetTime::default(), joined_at: f64::NEG_INFINITY, counts_lost_at: None }
     }
 
-    /// Notes what the host knows of the fleet's clock by now.
+    /// Updates what is known of the fleet's clock.
     pub(crate) fn update(&mut self, fleet_time: FleetTime, local: Millis) {
         let before = std::mem::replace(&mut self.fleet_time, fleet_time);
         let starts = before == FleetTime::default() && !fleet_time.is_synchronized();
@@ -44,17 +45,17 @@
         }
     }
 
-    /// Notes that this gateway does not know what its fleet counted until now.
+    /// Records that this gateway has no reading of the fleet's counts so far.
     pub(crate) fn rejoin(&mut self, local: Millis) {
         self.joined_at = local;
     }
 
-    /// Notes that what the fleet counted until now cannot be found any more.
+    /// Records that the fleet's counts so far can no longer be read.
     pub(crate) fn lose_counts(&mut self, local: Millis) {
         self.counts_lost_at = Some(local);
     }
 
-    /// Returns for how long counts have been kept, if earlier ones were lost.
+    /// Returns the time since counts were last lost, or `None` if they never were.
     pub(crate) fn time_since_counts_lost(&self, local: Millis) -> Option<Millis> {
         self.counts_lost_at.map(|lost_at| local - lost_at)
     }
@@ -64,12 +65,12 @@
         Now { local, fleet: (local + offset).rem_euclid(CYCLE) }
     }
 
-    /// Returns whether there is a fleet whose clock is not known well enough yet to name counter keys.
+    /// Returns whether the fleet's clock is not yet known well enough to derive counter keys from it.
     pub(crate) fn is_converging(&self) -> bool {
         self.fleet_time == FleetTime::Converging
     }
 
-    /// Returns whether the fleet's clock is about to be known.
+    /// Returns whether the first counter reply, and with it the fleet's clock, is still awaited.
     pub(crate) fn is_pending(&self) -> bool {
         self.fleet_time == FleetTime::Pending
     }
@@ -80,8 +81,8 @@
     }
 }
 
-/// The windows of one tenant. They are staggered by a hash of its name, so that tenants do not all renew at
-/// once.
+/// The windows of one tenant, staggered by a hash of its name so that tenants do not all renew their leases
+/// at once.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WindowSchedule {
     length: Millis,
@@ -94,23 +95,23 @@
         Self { length, stagger }
     }
 
-    /// Returns how long a window lasts.
+    /// Returns the length of a window.
     pub(crate) fn length(&self) -> Millis {
         self.length
     }
 
-    /// Returns the present window.
+    /// Returns the window at the given time.
     pub(crate) fn window_at(&self, now: Now) -> WindowNumber {
         ((now.fleet + self.stagger) / self.length).floor() as WindowNumber
     }
 
-    /// Returns how long ago a window began.
+    /// Returns the time since a window began.
     pub(crate) fn elapsed(&self, window: WindowNumber, now: Now) -> Millis {
         (now.fleet - (window as f64 * self.length - self.stagger)).rem_euclid(CYCLE)
     }
 }
 
-/// Returns the counter key of a tenant's window, below 2^63 and the same at all gateways.
+/// Returns the counter key of a tenant's window. Keys are below 2^63, and the same at all gateways.
 pub(crate) fn counter_key(name_hash: u64, window: WindowNumber) -> u64 {
     mix(name_hash ^ window.wrapping_mul(WEYL_STEP)) >> 1
 }
