--- a/policy/tests/quota_ceiling.rs
+++ b/policy/tests/quota_ceiling.rs
@@ -1,6 +1,6 @@
-//! The hard ceiling over several gateways with one counter, in virtual time: through consecutive windows, an
-//! unavailable counter, one that loses its counts, restarts, and requests of several units. `--nocapture`
-//! prints the lowest level.
+//! A tenant's hard ceiling across several gateways with one counter, simulated in virtual time. Covers
+//! consecutive windows, an unavailable counter, lost counts, gateway restarts, and requests of several units.
+//! `--nocapture` prints the lowest number of units left under the ceiling.
 
 mod common;
 use common::*;
@@ -8,13 +8,13 @@
 use std::collections::BTreeMap;
 
 const END: Millis = 30_000.0;
-/// The index of the plan under a ceiling in the settings.
+/// The index of the plan with a ceiling in the settings.
 const CEILING_PLAN: usize = 1;
-/// The ceiling refills at this rate, in units per second, times the case's factor.
+/// The refill rate of the ceiling, in units per second, before the factor of the case.
 const CEILING_BASE_RATE: f64 = 5.0;
-/// The tenant's activity repeats in this time.
+/// The period of the tenant's alternating activity and inactivity.
 const ACTIVITY_PERIOD: Millis = 3000.0;
-/// The number of requests that a case has to forward at least, or it shows nothing.
+/// The minimum number of forwarded requests for a case to be meaningful.
 const MIN_FORWARDED: usize = 30;
 
 /// A span of time.
@@ -30,27 +30,27 @@
     }
 }
 
-/// One tenant under a ceiling, whose demand at all of its gateways is far above it.
+/// A scenario with one tenant, whose demand is far above its ceiling while it is active.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     gateways: u32,
-    /// Requests use from one unit up to this many.
+    /// Each request uses from one unit to this many.
     max_units: u64,
     burst: f64,
-    /// The plan's rate, in units per second; 0 where the ceiling is its only bound.
+    /// The plan's rate in units per second, or 0 if it has only a ceiling.
     rate: f64,
     /// The ceiling as a multiple of [`CEILING_BASE_RATE`] and the burst.
     ceiling: f64,
     /// When the counter is unavailable.
-    unavailable: Span,
-    /// Whether the counter has lost all counts when it is available again.
+    outage: Span,
+    /// Whether the counter has lost all counts at the end of the outage.
     loses_counts: bool,
-    /// The counter loses all counts this often.
+    /// The interval at which the counter loses all counts.
     loss_interval: Millis,
-    /// Each gateway runs this long; they restart one after the other.
+    /// The time between two restarts of a gateway. Gateways restart one after another, evenly spaced.
     lifetime: Millis,
-    /// The tenant is active in this fraction of each [`ACTIVITY_PERIOD`].
-    active: f64,
+    /// The fraction of each [`ACTIVITY_PERIOD`] in which the tenant sends requests.
+    active_fraction: f64,
 }
 
 impl Case {
@@ -67,28 +67,29 @@
         settings
     }
 
-    /// Returns the time between the restarts of two gateways.
+    /// Returns the time between the restarts of one gateway and the next.
     fn restart_interval(&self) -> Millis {
         self.lifetime / f64::from(self.gateways)
     }
 }
 
 const NEVER: Millis = 1e9;
-/// An outage of the counter, in the middle of a case.
+/// An outage of the counter, from 7 s to 15 s of the 30 s simulated.
 const OUTAGE: Span = Span { from: 7000.0, until: 15_000.0 };
-const CASE: Case = Case {
+const BASE_CASE: Case = Case {
     gateways: 4,
     max_units: 1,
     burst: 20.0,
     rate: 5.0,
     ceiling: 1.6,
-    unavailable: Span { from: NEVER, until: NEVER },
+    outage: Span { from: NEVER, until: NEVER },
     loses_counts: false,
     loss_interval: NEVER,
     lifetime: NEVER,
-    active: 1.0,
+    active_fraction: 1.0,
 };
 
+/// A scheduled step of the simulation; the number is the index of a gateway.
 enum Step {
     Handle(u32, Event),
     Request(u32),
@@ -96,6 +97,7 @@
     LoseCounts,
 }
 
+/// The simulated gateways and counter, and the units that the tenant has left under its ceiling.
 struct Fleet {
     case: Case,
     settings: Settings,
@@ -112,7 +114,7 @@
     level: f64,
     refilled_at: Millis,
     /// The lowest level so far.
-    lowest: f64,
+    lowest_level: f64,
     forwarded: usize,
 }
 
@@ -132,7 +134,7 @@
             units: BTreeMap::new(),
             level,
             refilled_at: 0.0,
-            lowest: level,
+            lowest_level: level,
             forwarded: 0,
         };
         for number in 0..case.gateways {
@@ -144,12 +146,12 @@
         fleet
     }
 
-    /// Schedules the first restart and the first losses of counts.
+    /// Schedules the first restart, the first periodic loss of counts, and the loss after the outage.
     fn schedule_faults(&mut self) {
         self.schedule.at(self.case.restart_interval(), Step::Restart(0));
         self.schedule.at(self.case.loss_interval, Step::LoseCounts);
         if self.case.loses_counts {
-            self.schedule.at(self.case.unavailable.until, Step::LoseCounts);
+            self.schedule.at(self.case.outage.until, Step::LoseCounts);
         }
     }
 
@@ -162,7 +164,7 @@
         gateway
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         while let Some((now, step)) = self.schedule.next().filter(|(now, _)| *now <= END) {
             self.now = now;
             match step {
@@ -178,7 +180,7 @@
                 }
                 Step::Request(gateway) => {
                     self.schedule.at(now + 20.0 + 20.0 * self.random.unit(), Step::Request(gateway));
-                    if now % ACTIVITY_PERIOD < ACTIVITY_PERIOD * self.case.active {
+                    if now % ACTIVITY_PERIOD < ACTIVITY_PERIOD * self.case.active_fraction {
                         self.request(gateway);
                     }
                 }
@@ -207,7 +209,7 @@
                     self.schedule.at(self.now + after, Step::Handle(gateway, Event::Timer { token }));
                 }
                 Action::IncrementCounter { key, amount, .. } => {
-                    let available = !self.case.unavailable.contains(self.now);
+                    let available = !self.case.outage.contains(self.now);
                     let (latency, reply) = self.counter.call(key, amount, available);
                     self.schedule.at(self.now + latency, Step::Handle(gateway, reply));
                 }
@@ -223,7 +225,7 @@
         self.level = refilled.min(plan.ceiling_burst) - self.units[&id];
         self.refilled_at = self.now;
         self.forwarded += 1;
-        self.lowest = self.lowest.min(self.level);
+        self.lowest_level = self.lowest_level.min(self.level);
         let end = AttemptEnd {
             id,
             attempt: 0,
@@ -238,70 +240,88 @@
     }
 }
 
-fn assert_held(cases: &[Case]) {
+/// Asserts that no case exceeds its ceiling by more than the slack, and that each forwards enough requests.
+fn assert_ceiling_holds(cases: &[Case]) {
     let mut violations = Vec::new();
     for case in cases {
         let mut fleet = Fleet::new(*case);
-        fleet.play();
+        fleet.run();
         let slack = fleet.settings.plans[CEILING_PLAN].ceiling_slack;
-        let line = format!("lowest {:.1} of -{slack}, {} forwarded: {case:?}", fleet.lowest, fleet.forwarded);
+        let line = format!(
+            "lowest level {:.1}, minimum allowed -{slack}, {} forwarded: {case:?}",
+            fleet.lowest_level, fleet.forwarded
+        );
         println!("{line}");
-        if fleet.lowest < -slack || fleet.forwarded < MIN_FORWARDED {
+        if fleet.lowest_level < -slack || fleet.forwarded < MIN_FORWARDED {
             violations.push(line);
         }
     }
     assert!(violations.is_empty(), "{violations:#?}");
 }
 
-/// The case with one gateway, some, and as many as may serve such a tenant (its ceiling holds two of the
-/// largest requests for each); with small and large requests.
-fn sizes(case: Case) -> Vec<Case> {
-    let most = |max_units: u64| (case.ceiling * case.burst / 2.0 / max_units as f64) as u32;
+/// Returns variants of a case with different numbers of gateways and maximum units. The number of gateways is
+/// limited so that the ceiling's burst allows two of the largest requests for each.
+fn at_all_sizes(case: Case) -> Vec<Case> {
+    let max_gateways = |max_units: u64| (case.ceiling * case.burst / 2.0 / max_units as f64) as u32;
     [(1, 1), (4, 1), (16, 1), (2, 5), (4, 4)]
-        .map(|(gateways, max_units)| Case { gateways: most(max_units).min(gateways), max_units, ..case })
+        .map(|(gateways, max_units)| Case {
+            gateways: max_gateways(max_units).min(gateways),
+            max_units,
+            ..case
+        })
         .to_vec()
 }
 
 #[test]
 fn consecutive_windows_stay_under_the_ceiling() {
-    for active in [1.0, 0.2] {
-        assert_held(&sizes(Case { active, ..CASE }));
+    for active_fraction in [1.0, 0.2] {
+        assert_ceiling_holds(&at_all_sizes(Case { active_fraction, ..BASE_CASE }));
     }
 }
 
 #[test]
 fn ceiling_holds_when_the_counter_recovers_with_or_without_its_counts() {
     for loses_counts in [false, true] {
-        for active in [1.0, 0.2] {
-            assert_held(&sizes(Case { unavailable: OUTAGE, loses_counts, active, ..CASE }));
+        for active_fraction in [1.0, 0.2] {
+            assert_ceiling_holds(&at_all_sizes(Case {
+                outage: OUTAGE,
+                loses_counts,
+                active_fraction,
+                ..BASE_CASE
+            }));
         }
     }
 }
 
 #[test]
 fn ceiling_holds_when_the_counter_loses_its_counts_repeatedly() {
-    assert_held(&sizes(Case { loss_interval: 2300.0, ..CASE }));
+    assert_ceiling_holds(&at_all_sizes(Case { loss_interval: 2300.0, ..BASE_CASE }));
 }
 
 #[test]
 fn ceiling_holds_when_gateways_restart() {
-    assert_held(&sizes(Case { lifetime: 900.0, ..CASE }));
-    // Without the counter a restarted gateway has no reading, and starts from its part of half a burst.
-    assert_held(&sizes(Case { lifetime: 4000.0, unavailable: OUTAGE, loses_counts: true, ..CASE }));
+    assert_ceiling_holds(&at_all_sizes(Case { lifetime: 900.0, ..BASE_CASE }));
+    // A gateway that restarts during the outage has no reading, and starts with its part of half a burst.
+    assert_ceiling_holds(&at_all_sizes(Case {
+        lifetime: 4000.0,
+        outage: OUTAGE,
+        loses_counts: true,
+        ..BASE_CASE
+    }));
 }
 
 #[test]
 fn ceiling_without_a_rate_quota_is_held() {
-    assert_held(&sizes(Case { rate: 0.0, ..CASE }));
+    assert_ceiling_holds(&at_all_sizes(Case { rate: 0.0, ..BASE_CASE }));
 }
 
 #[test]
 fn ceiling_close_to_the_quota_is_held() {
-    let near = |ceiling| {
-        let near = Case { ceiling, ..CASE };
-        let lossy = Case { loss_interval: 2300.0, ..near };
-        let restarted = Case { lifetime: 4000.0, unavailable: OUTAGE, loses_counts: true, ..near };
-        [near, lossy, restarted].into_iter().flat_map(sizes)
+    let cases_at = |ceiling| {
+        let base = Case { ceiling, ..BASE_CASE };
+        let with_losses = Case { loss_interval: 2300.0, ..base };
+        let with_restarts = Case { lifetime: 4000.0, outage: OUTAGE, loses_counts: true, ..base };
+        [base, with_losses, with_restarts].into_iter().flat_map(at_all_sizes)
     };
-    assert_held(&[1.0, 1.2, 1.4].into_iter().flat_map(near).collect::<Vec<_>>());
+    assert_ceiling_holds(&[1.0, 1.2, 1.4].into_iter().flat_map(cases_at).collect::<Vec<_>>());
 }
--- a/policy/tests/quota_fallback.rs
+++ b/policy/tests/quota_fallback.rs
@@ -1,4 +1,5 @@
-//! The counter unavailable, slow, or without its counts; ceilings through all of it.
+//! Quota decisions while the counter is unavailable or slow, and after it lost its counts, with and without a
+//! ceiling.
 
 mod common;
 use common::*;
@@ -9,7 +10,7 @@
     gateway.handle(Event::CounterReply { key, result: CounterResult::Unknown, latency: 50.0 })
 }
 
-/// Makes a request every 20 ms while the counter does not reply. Returns how many were admitted.
+/// Sends a request every 20 ms while the counter does not reply. Returns how many were admitted.
 fn admitted_without_counter(gateway: &mut TestGateway, plan: &str, span: Millis) -> usize {
     let end = gateway.now + span;
     let mut admitted = 0;
@@ -20,17 +21,17 @@
         if let Some(CounterCall { key, .. }) = counter_call(&actions) {
             actions.extend(time_out_call(gateway, key));
         }
-        if let Some((id, chosen)) = forwarded(&actions) {
+        if let Some((id, endpoint)) = forwarded(&actions) {
             admitted += 1;
-            gateway.end_attempt(id, 0, &chosen, Outcome::Served);
+            gateway.end_attempt(id, 0, &endpoint, Outcome::Served);
         }
         gateway.now += 20.0;
     }
     admitted
 }
 
-/// Makes a request under a ceiling while the counter replies with `total`; attempts are served at once.
-/// Returns how many were admitted.
+/// Sends a request of a tenant with a ceiling. Counter calls are answered at once with the running `total`,
+/// and attempts are served at once. Returns how many requests were admitted.
 fn request_under_ceiling(gateway: &mut TestGateway, id: RequestId, total: &mut f64) -> usize {
     let mut admitted = Vec::new();
     let mut actions = gateway.request(id, "c", "ceiling", "idempotent");
@@ -40,8 +41,8 @@
         *total += amount;
         actions = gateway.reply_total(key, *total);
     }
-    for (id, chosen) in &admitted {
-        gateway.end_attempt(*id, 0, chosen, Outcome::Served);
+    for (id, endpoint) in &admitted {
+        gateway.end_attempt(*id, 0, endpoint, Outcome::Served);
     }
     admitted.len()
 }
@@ -50,7 +51,8 @@
 fn without_the_counter_a_gateway_spends_its_fallback_allowance_and_no_more() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
 
-    // Burst 10 and rate 5 for two gateways: at most 5 at once and 2.5 a second, 30 in ten seconds.
+    // A burst of 10 and a rate of 5 per second for two gateways allow each of them 5 units at once and 2.5
+    // per second, 30 in ten seconds.
     let admitted = admitted_without_counter(&mut gateway, "plain", 10_000.0);
 
     assert!((26..=30).contains(&admitted), "{admitted}");
@@ -58,8 +60,8 @@
 
 #[test]
 fn ceiling_holds_through_a_spent_burst_a_lost_count_a_restart_and_an_unavailable_counter() {
-    // The other gateway has just been granted the complete burst of 10. This one restarts, finds the count
-    // lost, leases what it is granted, and then the counter becomes unavailable.
+    // The other gateway has just been granted the full burst of 10. Then the counter loses its count, this
+    // gateway restarts and leases what it is granted, and the counter becomes unavailable.
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let start = gateway.now;
     let mut admitted = 0.0;
@@ -70,18 +72,18 @@
         id += 1;
         admitted += request_under_ceiling(&mut gateway, id, &mut total) as f64;
         let ceiling = 16.0 + 8.0 * (gateway.now - start) / 1000.0 + 1.6;
-        assert!(10.0 + admitted <= ceiling, "10 + {admitted} against {ceiling} before the counter is lost");
+        assert!(10.0 + admitted <= ceiling, "10 + {admitted} exceeds {ceiling} with the counter available");
         gateway.now += 20.0;
     }
-    // Two gateways without the counter: each may spend the same allowance.
+    // Without the counter, both gateways may spend the same allowance.
     admitted += 2.0 * admitted_without_counter(&mut gateway, "ceiling", 4000.0) as f64;
     let ceiling = 16.0 + 8.0 * 6.0 + 1.6;
 
-    assert!(10.0 + admitted <= ceiling, "10 + {admitted} against {ceiling}");
+    assert!(10.0 + admitted <= ceiling, "10 + {admitted} exceeds {ceiling}");
 }
 
 #[test]
-fn units_held_are_added_again_when_the_counter_lost_its_count() {
+fn units_added_before_are_added_again_when_the_counter_lost_its_count() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
 
     let CounterCall { key, amount } =
@@ -105,7 +107,7 @@
 fn unavailability_is_logged_once_and_the_counter_is_polled_for_few_requests() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let mut calls = 0;
-    let mut lines = 0;
+    let mut log_lines = 0;
     let mut id = 0;
     let end = gateway.now + 5000.0;
 
@@ -116,18 +118,18 @@
             calls += 1;
             actions.extend(time_out_call(&mut gateway, key));
         }
-        lines += actions
+        log_lines += actions
             .iter()
             .filter(|action| matches!(action, Action::Log(line) if line.contains("counter unavailable")))
             .count();
-        if let Some((id, chosen)) = forwarded(&actions) {
-            gateway.end_attempt(id, 0, &chosen, Outcome::Served);
+        if let Some((id, endpoint)) = forwarded(&actions) {
+            gateway.end_attempt(id, 0, &endpoint, Outcome::Served);
         }
         gateway.now += 10.0;
     }
 
-    assert_eq!(lines, 1);
-    assert!(calls >= 3, "without calls the recovery would not be noticed: {calls}");
+    assert_eq!(log_lines, 1);
+    assert!(calls >= 3, "recovery is detected only by calls: {calls}");
     assert!(f64::from(calls) <= 0.15 * id as f64, "{calls} calls for {id} requests");
 }
 
@@ -149,8 +151,8 @@
 fn after_unavailability_an_idle_gateway_does_not_assume_a_full_quota_under_a_ceiling() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
 
-    let chosen = gateway.forward_request(1, "c", "ceiling", "idempotent");
-    gateway.end_attempt(1, 0, &chosen, Outcome::Served);
+    let endpoint = gateway.forward_request(1, "c", "ceiling", "idempotent");
+    gateway.end_attempt(1, 0, &endpoint, Outcome::Served);
     gateway.now += 100.0;
     for id in 2..=3 {
         let CounterCall { key, .. } =
@@ -158,7 +160,8 @@
                 .expect("a counter call");
         time_out_call(&mut gateway, key);
     }
-    // For three seconds the other gateway may spend everything; then the counter recovers without its counts.
+    // The other gateway may spend the whole quota for three seconds. Then the counter recovers without its
+    // counts.
     gateway.now += 3000.0;
     let mut admitted = 0;
     let mut total = 0.0;
--- a/policy/tests/quota_lease.rs
+++ b/policy/tests/quota_lease.rs
@@ -1,11 +1,11 @@
-//! Leases on the ordinary path: blocks, rejection, returned units, windows.
+//! Leases while the counter is available: block sizes, rejection, returned units, and windows.
 
 mod common;
 use common::*;
 use ryefront_policy::*;
 
 #[test]
-fn first_block_is_burst_over_gateways_and_is_spent_locally() {
+fn first_block_is_burst_divided_by_gateways_and_is_spent_locally() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3", "a4", "a5", "a6"]);
 
     let actions = gateway.request(1, "c", "plain", "idempotent");
@@ -17,17 +17,17 @@
 
     for id in 2..=5 {
         let actions = gateway.request(id, "c", "plain", "idempotent");
-        assert_eq!(forward_count(&actions), 1, "request {id} is paid from leased units");
+        assert_eq!(forward_count(&actions), 1, "request {id} is admitted from leased units");
     }
 }
 
 #[test]
-fn rejects_request_when_lease_and_window_are_spent_and_returns_the_rest() {
+fn request_is_rejected_and_its_block_returned_when_the_quota_is_spent() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
 
     let CounterCall { key, amount } =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
-    // Other gateways hold the complete burst and more than the window has refilled by now.
+    // Other gateways have leased more than the full burst and what it has refilled in this window.
     let actions = gateway.reply_total(key, amount + 40.0);
     let retry_after = actions.iter().find_map(|action| match action {
         Action::Reject { id: 1, retry_after } => Some(*retry_after),
@@ -36,7 +36,7 @@
 
     assert!(retry_after.is_some_and(|ms| ms > 0.0), "{actions:?}");
 
-    let call = counter_call(&actions).expect("what does not fit is returned");
+    let call = counter_call(&actions).expect("units that exceed the quota are returned");
 
     assert_eq!(call.amount, -amount);
 }
@@ -117,8 +117,8 @@
 fn idle_tenants_are_dropped() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
 
-    let chosen = gateway.forward_request(1, "c", "plain", "idempotent");
-    gateway.end_attempt(1, 0, &chosen, Outcome::Served);
+    let endpoint = gateway.forward_request(1, "c", "plain", "idempotent");
+    gateway.end_attempt(1, 0, &endpoint, Outcome::Served);
     gateway.advance(60_000.0, &[]);
     let actions = gateway.request(2, "c", "plain", "idempotent");
 
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn leases_are_returned_while_draining_and_no_new_ones_requested() {
+fn draining_gateway_returns_leases_and_leases_only_what_requests_need() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
 
     let CounterCall { key, amount } =
@@ -151,13 +151,13 @@
     assert_eq!(
         counter_call(&actions),
         Some(CounterCall { key, amount: 1.0 - amount }),
-        "all units but the spent one"
+        "all units except the spent one are returned"
     );
 
     gateway.reply_total(key, 1.0);
 
     assert_eq!(counter_call(&gateway.handle(Event::Timer { token: 1 })), None);
-    // A late request leases what it needs and no more.
+    // A request during the drain leases only the units it needs.
     assert_eq!(
         counter_call(&gateway.request(2, "c", "plain", "idempotent")),
         Some(CounterCall { key, amount: 1.0 })
@@ -165,12 +165,12 @@
 }
 
 #[test]
-fn units_admitted_by_the_fallback_during_a_call_are_paid_from_its_block() {
+fn units_admitted_by_the_fallback_during_a_call_are_covered_by_its_block() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3", "a4"]);
 
     let CounterCall { key, amount } =
         counter_call(&gateway.request(1, "c", "plain", "idempotent")).expect("a counter call");
-    // The call is late: its request is admitted by the fallback once it has waited long enough.
+    // The reply is late, so the fallback admits the request after its maximum wait.
     gateway.now += 100.0;
 
     assert_eq!(forward_count(&gateway.handle(Event::Timer { token: 2 })), 1);
@@ -181,5 +181,5 @@
 
     let forwarded: usize =
         (2..=6).map(|id| forward_count(&gateway.request(id, "c", "plain", "idempotent"))).sum();
-    assert_eq!(forwarded, 4, "the block of five has paid for the first");
+    assert_eq!(forwarded, 4, "the block of five units covers the first request");
 }
--- a/policy/tests/unit/decayed_count.rs
+++ b/policy/tests/unit/decayed_count.rs
@@ -1,12 +1,13 @@
-//! What a decayed count says of a tenant's demand. A part of `policy/src/quota/decayed_count.rs`, whose
+//! Unit tests of the decayed count, included as a module of `policy/src/quota/decayed_count.rs` because its
 //! functions are private.
 
 use super::*;
 
 const REFILL_PERIOD: Millis = 4000.0;
 
-/// Returns the demand read for a tenant that requests `rate` units a second for `periods`, in steps of 10 ms.
-fn demand_read(rate: f64, periods: f64) -> f64 {
+/// Returns the decayed demand of a tenant that requests `rate` units per second for `periods` refill periods,
+/// in steps of 10 ms.
+fn demand_at_steady_rate(rate: f64, periods: f64) -> f64 {
     let end = periods * REFILL_PERIOD;
     let steps = (end / 10.0) as u32;
     let total: f64 =
@@ -17,16 +18,16 @@
 #[test]
 fn steady_rate_reads_as_rate_times_refill_period_late_in_a_window() {
     for rate in [1.0, 5.0, 25.0] {
-        let read = demand_read(rate, WINDOW_PERIODS) / (rate * REFILL_PERIOD / 1000.0);
+        let read = demand_at_steady_rate(rate, WINDOW_PERIODS) / (rate * REFILL_PERIOD / 1000.0);
         assert!(
             (0.98..1.02).contains(&read),
-            "{rate} units a second read as {read} of rate times refill period"
+            "{rate} units per second give {read} of rate times refill period"
         );
     }
 
     assert!(
-        demand_read(5.0, 0.5) < 10.0,
-        "half a refill period at the full rate is well under a burst of 20"
+        demand_at_steady_rate(5.0, 0.5) < 10.0,
+        "half a refill period at the full rate counts as less than half a burst of 20"
     );
 }
 
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn all_is_admitted_up_to_a_burst_and_the_even_share_beyond() {
+fn all_requests_are_admitted_up_to_a_burst_and_a_fraction_beyond() {
     assert_eq!(admit_ratio(20.0, 20.0, 1.0), 1.0);
     assert_eq!(admit_ratio(80.0, 20.0, 1.0), 0.25);
     assert!(admit_ratio(80.0, 20.0, 1.5) < 0.25);
