--- a/policy/src/quota/gate.rs
+++ b/policy/src/quota/gate.rs
@@ -131,9 +131,10 @@
         Some((decision, QuotaSource::Counter))
     }
 
-    /// Decides whether to admit a request of a low-quota tenant. With a fresh reading the cached admit ratio
-    /// decides. Otherwise the request waits for a counter call if the call ratio allows one, and if not, the
-    /// cached ratio decides. Clients' retries do not count as new demand.
+    /// Decides whether to admit a request of a low-quota tenant. While the tenant has a pending call, the
+    /// request waits for its reply. With a fresh reading the cached admit ratio decides. Otherwise the
+    /// request waits for a new call if the call ratio allows one, and if not, the cached ratio decides.
+    /// Clients' retries do not count as new demand.
     fn admit_low_quota(&mut self, request: &QuotaRequest, now: Millis, random: &mut Random) -> QuotaDecision {
         let sampled = random.uniform() < self.calls.call_ratio();
         // While the counter cannot keep up with all calls, none are made for retries, as they report no
--- a/policy/src/quota/lease.rs
+++ b/policy/src/quota/lease.rs
@@ -223,8 +223,8 @@
     pub(super) fn next_block(&self, needed: f64, demand: &Demand, share: QuotaShare<'_>) -> f64 {
         let plan = share.plan;
         let wanted = if self.has_reading {
-            let even_part = (self.remaining - plan.burst * SCARCE_FRACTION) / share.gateways;
-            self.block_for_demand(demand, share).max(even_part.ceil())
+            let equal_part = (self.remaining - plan.burst * SCARCE_FRACTION) / share.gateways;
+            self.block_for_demand(demand, share).max(equal_part.ceil())
         } else {
             plan.burst / share.gateways
         };
