--- a/policy/src/engine.rs
+++ b/policy/src/engine.rs
@@ -198,7 +198,7 @@
     /// deadline has not passed and the client can safely retry it; otherwise it fails.
     fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        let safe_to_retry = retry::may_reject(request, &self.settings.classes[request.class]);
+        let safe_to_retry = retry::is_client_retry_safe(request, &self.settings.classes[request.class]);
         if safe_to_retry && self.now < request.deadline {
             let retry_after = retry_after::load_shed(self.settings.max_retry_after, &mut self.random);
             self.reject(id, retry_after, actions);
--- a/policy/src/engine/forwarding.rs
+++ b/policy/src/engine/forwarding.rs
@@ -67,11 +67,11 @@
 
     /// Forwards queued requests in queue order, as far as endpoints have capacity.
     pub(super) fn forward_queued_requests(&mut self, actions: &mut Vec<Action>) {
-        for id in self.wait_queue.take() {
+        for id in self.wait_queue.take_all() {
             let is_waiting =
                 self.requests.get(&id).is_some_and(|request| request.stage == RequestStage::AwaitingEndpoint);
             if is_waiting && !self.try_forward(id, actions) {
-                self.wait_queue.put_back(id);
+                self.wait_queue.push_back(id);
             }
         }
     }
--- a/policy/src/load_shedder.rs
+++ b/policy/src/load_shedder.rs
@@ -1,26 +1,26 @@
-//! Overload protection of a large fleet: sheds first attempts while too many responses are late.
+//! Load shedding in a large fleet: rejects first attempts while too many responses are late.
 //!
-//! A gateway of a large fleet sees too little of each endpoint to judge it alone, but enough of all of them
-//! together. It admits first attempts with a probability that falls with each late response (adaptive
-//! admission control). The probability applies to a request of mean priority weight; requests of a lower
-//! weight are shed first, as it is raised to the power of the mean weight divided by theirs.
+//! A gateway of a large fleet gets too few responses from each endpoint to adapt a limit per endpoint, but
+//! enough from all endpoints together. It admits first attempts with a probability that each late response
+//! lowers and each timely one raises (adaptive admission control). The probability applies to a request of
+//! mean priority weight. For other requests it is raised to the power of the mean weight divided by their
+//! weight, so that requests of a lower weight are shed first.
 
 use crate::quota::QuotaReading;
 use crate::random::Random;
 use crate::response_latency::Timeliness;
 use crate::{RequestClass, Settings};
 
-/// By how much one response changes the admission probability ([`Timeliness::adjustment`]).
-const PROBABILITY_STEP: f64 = 0.2;
-/// The lowest admission probability.
+/// The gain with which one response changes the admission probability ([`Timeliness::adjustment`]).
+const PROBABILITY_GAIN: f64 = 0.2;
 const MIN_PROBABILITY: f64 = 0.1;
-/// By how much one shed request raises the probability, so that admission resumes where all requests are
-/// shed.
+/// The fraction by which each shed request raises the admission probability, so that admission resumes where
+/// all requests are shed and no responses arrive.
 const PROBABILITY_RECOVERY: f64 = 0.01;
-/// Divides the priority weight of requests admitted without a quota reading, as some of them exceed their
-/// quota.
-const UNMETERED_WEIGHT_DIVISOR: f64 = 2.0;
-/// The least priority weight that is divided by.
+/// Divides the priority weight of requests that are admitted without a quota reading, as some of them are
+/// over quota.
+const MISSING_READING_DIVISOR: f64 = 2.0;
+/// Lower bound of the priority weight, which avoids a division by zero.
 const MIN_PRIORITY_WEIGHT: f64 = 1e-9;
 
 /// Whether a first attempt is admitted.
@@ -33,9 +33,11 @@
 /// The load shedder of one gateway.
 #[derive(Debug)]
 pub(crate) struct LoadShedder {
-    /// In a small fleet nothing is shed here.
+    /// False in a small fleet, where the concurrency limits bound the load.
     enabled: bool,
+    /// The admission probability of a request of mean priority weight.
     probability: f64,
+    /// The mean priority weight of all classes.
     mean_weight: f64,
 }
 
@@ -56,7 +58,7 @@
         }
         let divisor = match quota_reading {
             QuotaReading::Known => 1.0,
-            QuotaReading::Missing => UNMETERED_WEIGHT_DIVISOR,
+            QuotaReading::Missing => MISSING_READING_DIVISOR,
         };
         let exponent = self.mean_weight / class.priority_weight.max(MIN_PRIORITY_WEIGHT) * divisor;
         if random.uniform() < self.probability.powf(exponent) {
@@ -66,9 +68,9 @@
         Admission::Shed
     }
 
-    /// Records a response.
+    /// Lowers the admission probability after a late response, and raises it after a timely one.
     pub(crate) fn record_response(&mut self, timeliness: Timeliness) {
-        let probability = self.probability * timeliness.adjustment(PROBABILITY_STEP);
+        let probability = self.probability * timeliness.adjustment(PROBABILITY_GAIN);
         self.probability = probability.clamp(MIN_PROBABILITY, 1.0);
     }
 }
--- a/policy/src/response_latency.rs
+++ b/policy/src/response_latency.rs
@@ -1,23 +1,23 @@
-//! Whether responses are late, judged by the latency objective of their class and by what is typical of it.
+//! Classifies responses as timely or late, by the latency objective and the mean latency of their class.
 //!
 //! Concurrency limits and load shedding adapt to the fraction of late responses. A served response is late if
-//! it leaves too little of its objective; a failure, if it took much longer than responses usually do.
+//! it took too large a part of the latency objective; a failure, if it took much longer than the class's mean
+//! latency.
 
 use crate::settings::ClassIndex;
 use crate::{Millis, Outcome};
 
-/// Responses should arrive within this fraction of the latency objective; the rest is for the network and
-/// waiting.
+/// The part of the latency objective that an attempt may take; the rest is for the network and for waiting at
+/// the gateway.
 const OBJECTIVE_FRACTION: f64 = 0.6;
-/// The weight of the newest latency in the typical latency of its class.
-const NEWEST_WEIGHT: f64 = 0.02;
-/// A failure counts as a late response if it took this many times the typical latency.
+/// The weight of a new sample in the moving average of a class's latency.
+const SMOOTHING_FACTOR: f64 = 0.02;
+/// A failure counts as a late response if it took more than this multiple of the mean latency.
 const LATE_FAILURE_FACTOR: f64 = 4.0;
+/// The fraction of late responses at which a limit stays the same.
+const TARGET_LATE_FRACTION: f64 = 0.1;
 
-/// The fraction of responses that may be late.
-const LATE_FRACTION_TARGET: f64 = 0.1;
-
-/// Whether a response came in time.
+/// Whether a response was timely.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Timeliness {
     InTime,
@@ -25,51 +25,52 @@
 }
 
 impl Timeliness {
-    /// Returns the factor by which one response changes a limit that is to keep the fraction of late
-    /// responses at its target: it grows by a tenth of `step` for one in time, and shrinks by nine tenths for
-    /// a late one.
-    pub(crate) fn adjustment(self, step: f64) -> f64 {
+    /// Returns late for a latency above `limit`.
+    fn of(latency: Millis, limit: Millis) -> Self {
+        if latency > limit { Self::Late } else { Self::InTime }
+    }
+
+    /// Returns the factor that a limit is multiplied by after one response, to keep the fraction of late
+    /// responses at [`TARGET_LATE_FRACTION`]: a timely response adds a tenth of `gain`, a late one subtracts
+    /// nine tenths of it.
+    pub(crate) fn adjustment(self, gain: f64) -> f64 {
         let late = match self {
             Self::InTime => 0.0,
             Self::Late => 1.0,
         };
-        1.0 + step * (LATE_FRACTION_TARGET - late)
+        1.0 + gain * (TARGET_LATE_FRACTION - late)
     }
 }
 
-/// The typical latency of each class's responses, as an exponentially weighted moving average.
+/// The mean latency of each class's served responses, as an exponentially weighted moving average.
 #[derive(Debug)]
 pub(crate) struct ResponseLatency {
-    typical: Vec<Millis>,
+    /// By class; 0 before the first response.
+    mean: Vec<Millis>,
 }
 
 impl ResponseLatency {
-    pub(crate) fn new(classes: usize) -> Self {
-        Self { typical: vec![0.0; classes] }
+    pub(crate) fn new(class_count: usize) -> Self {
+        Self { mean: vec![0.0; class_count] }
     }
 
-    /// Records how an attempt ended. Returns whether it counts as a late response, or `None` if its outcome
-    /// shows nothing about latency.
+    /// Records the latency of an attempt. Returns whether it counts as a timely or a late response, or `None`
+    /// if its outcome says nothing about the load.
     pub(crate) fn record(
         &mut self, class: ClassIndex, latency_objective: Millis, outcome: Outcome, latency: Millis,
     ) -> Option<Timeliness> {
-        let typical = &mut self.typical[class];
+        let mean = &mut self.mean[class];
         match outcome {
             Outcome::Served => {
-                *typical =
-                    if *typical == 0.0 { latency } else { *typical + NEWEST_WEIGHT * (latency - *typical) };
-                Some(late_if(latency > latency_objective * OBJECTIVE_FRACTION))
+                *mean = if *mean == 0.0 { latency } else { *mean + SMOOTHING_FACTOR * (latency - *mean) };
+                Some(Timeliness::of(latency, latency_objective * OBJECTIVE_FRACTION))
             }
             Outcome::Error | Outcome::NotSent | Outcome::Cancelled => None,
             Outcome::Rejected => Some(Timeliness::Late),
-            // A short wait proves nothing: the client may have had little time left.
+            // A failure after a short time is no sign of load: the client's deadline may have been close.
             Outcome::TimedOut | Outcome::ConnectFailed | Outcome::ConnectionReset => {
-                Some(late_if(latency > *typical * LATE_FAILURE_FACTOR))
+                Some(Timeliness::of(latency, *mean * LATE_FAILURE_FACTOR))
             }
         }
     }
 }
-
-fn late_if(late: bool) -> Timeliness {
-    if late { Timeliness::Late } else { Timeliness::InTime }
-}
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -1,21 +1,23 @@
-//! What may be retried, and until when.
+//! Which requests may be retried, and until when.
 //!
-//! A request whose earlier attempts surely never ran may always be retried. One that may have run may be
+//! A request may be retried if none of its attempts can have run. If one may have run, the request may be
 //! retried if its class is idempotent, or if it carries an idempotency key and the retry reaches an endpoint
 //! of the same dedup scope within the dedup window.
 
 use crate::request::Request;
 use crate::{DedupScope, Idempotency, Millis, RequestClass, Settings};
 
-/// An answer must be out this many ticks before the client's deadline.
+/// The last attempt is forwarded at least this many ticks before the client's deadline, so that the client
+/// can be answered in time.
 const ANSWER_MARGIN_TICKS: f64 = 2.0;
-/// The longest pause of a host between reading its clock and writing, by the operators' terms.
+/// The longest pause of a host between reading its clock and writing to a socket, as specified by the
+/// operators.
 pub(crate) const MAX_HOST_PAUSE: Millis = 150.0;
-/// An idempotent request that may have run gets no more attempts than this, those that never ran included: a
-/// request that two endpoints have failed may overload a third.
+/// The most attempts of an idempotent request that may have run, including attempts that cannot have run: a
+/// request that failed at two endpoints may overload a third.
 const MAX_ATTEMPTS_ONCE_AMBIGUOUS: u32 = 2;
 
-/// Returns whether a request may be forwarded once more.
+/// Returns whether another attempt of a request may be forwarded.
 pub(crate) fn may_retry(request: &Request, settings: &Settings, now: Millis) -> bool {
     let class = &settings.classes[request.class];
     let safe = match (&request.first_ambiguous_attempt, class.idempotency) {
@@ -26,14 +28,14 @@
     safe && now < forward_deadline(request, settings) && request.attempts < settings.max_attempts
 }
 
-/// Returns whether a request may be rejected, which promises that a retry by the client is harmless.
-pub(crate) fn may_reject(request: &Request, class: &RequestClass) -> bool {
+/// Returns whether a retry by the client is safe, which a rejection promises.
+pub(crate) fn is_client_retry_safe(request: &Request, class: &RequestClass) -> bool {
     request.first_ambiguous_attempt.is_none()
         || class.idempotency == Idempotency::Idempotent
         || (class.idempotency == Idempotency::WithKey && class.dedup_scope == DedupScope::All)
 }
 
-/// Returns when the dedup window of a keyed request that may have run ends.
+/// Returns the end of the dedup window of a request with an idempotency key that may have run.
 pub(crate) fn dedup_deadline(request: &Request, class: &RequestClass) -> Option<Millis> {
     let attempt = request.first_ambiguous_attempt.as_ref()?;
     (class.idempotency == Idempotency::WithKey).then_some(attempt.sent_at + class.dedup_window)
@@ -41,8 +43,8 @@
 
 /// Returns the latest time at which a request may be forwarded.
 ///
-/// A keyed retry has to arrive within the dedup window, while its connection may take all of the connect
-/// timeout to come up and the host may pause.
+/// A retry with an idempotency key has to arrive within the dedup window, even if connecting takes the whole
+/// connect timeout or the host pauses.
 pub(crate) fn forward_deadline(request: &Request, settings: &Settings) -> Millis {
     let margin = settings.connect_timeout.max(MAX_HOST_PAUSE);
     let dedup_deadline = dedup_deadline(request, &settings.classes[request.class]);
--- a/policy/src/wait_queue.rs
+++ b/policy/src/wait_queue.rs
@@ -1,43 +1,43 @@
-//! Requests that wait for an endpoint with capacity: a priority queue.
+//! A priority queue of requests that wait for an endpoint with capacity.
 //!
-//! Capacity should go to the requests of the highest priority weight first; those of equal weight are served
-//! in the order of their arrival in the queue.
+//! Requests of a higher priority weight come first; requests of equal weight, in the order of insertion.
 
 use crate::RequestId;
 use crate::request::{Request, RequestTable};
 use std::collections::VecDeque;
 
-/// The queue of one gateway. Entries of requests that are over stay until the queue is drained the next time.
+/// The wait queue of one gateway. The entry of a finished request stays until the next [`take_all`].
+///
+/// [`take_all`]: Self::take_all
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
     ids: VecDeque<RequestId>,
 }
 
 impl WaitQueue {
-    /// Returns the number of entries.
     pub(crate) fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// Inserts a request behind all requests of at least its priority weight.
+    /// Inserts a request before the first one of a lower priority weight.
     pub(crate) fn insert(
         &mut self, id: RequestId, requests: &RequestTable, weight: impl Fn(&Request) -> f64,
     ) {
         let Some(request) = requests.get(&id) else { return };
         let own_weight = weight(request);
-        let is_lighter =
+        let has_lower_weight =
             |other: &RequestId| requests.get(other).is_some_and(|other| weight(other) < own_weight);
-        let position = self.ids.iter().position(is_lighter).unwrap_or(self.ids.len());
+        let position = self.ids.iter().position(has_lower_weight).unwrap_or(self.ids.len());
         self.ids.insert(position, id);
     }
 
-    /// Takes out all entries, in their order.
-    pub(crate) fn take(&mut self) -> VecDeque<RequestId> {
+    /// Removes and returns all entries, in order.
+    pub(crate) fn take_all(&mut self) -> VecDeque<RequestId> {
         std::mem::take(&mut self.ids)
     }
 
-    /// Appends a request that was taken out and still waits.
-    pub(crate) fn put_back(&mut self, id: RequestId) {
+    /// Appends a request that [`take_all`](Self::take_all) has removed and that still waits.
+    pub(crate) fn push_back(&mut self, id: RequestId) {
         self.ids.push_back(id);
     }
 }
