--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of a quota gateway: quotas, load balancing, retries and load shedding.
+//! The policy of a quota gateway: quotas, load balancing, retries and load shedding.
 //!
-//! A fleet of gateways meters many tenants' use of one shared service. This crate does no I/O, reads no clock
-//! and draws no randomness beyond its seed: the host passes each [`Event`] with its time to a
-//! [`PolicyEngine`] and performs the [`Action`]s that come back.
+//! A fleet of gateways enforces the quotas of many tenants that share one service. This crate does no I/O and
+//! reads no clock, and its only source of randomness is the seed: the host passes each [`Event`] with its
+//! time to a [`PolicyEngine`] and performs the [`Action`]s that it returns.
 //!
 //! ```
 //! use ryefront_policy::{
@@ -57,28 +57,28 @@
 //!
 //! # Modules in reading order
 //!
-//! - `settings`, `event`, `action`: what goes in and what comes out.
-//! - `engine`: the way of an event through the mechanisms; `request`: the requests in progress.
+//! - `settings`, `event`, `action`: the inputs and outputs of the engine.
+//! - `engine`: the handling of each event by the mechanisms below; `request`: the requests in progress.
 //! - `quota`: leases on a shared count, the fallback while the counter is unavailable, low quotas, ceilings.
-//! - `load_shedder`, `wait_queue`, `response_latency`: what happens under overload.
-//! - `endpoint_table`, `endpoint`, `subset`, `load_balancer`: which endpoint an attempt is forwarded to.
-//! - `concurrency_limit`, `outlier_detection`, `slow_start`: how much an endpoint gets.
-//! - `retry`, `retry_after`: what may be retried, here and by clients.
-//! - [`fleet_clock`]: the time that gateways agree on through the counter.
+//! - `load_shedder`, `wait_queue`, `response_latency`: overload protection.
+//! - `endpoint_table`, `endpoint`, `subset`, `load_balancer`: the choice of an endpoint for each attempt.
+//! - `concurrency_limit`, `outlier_detection`, `slow_start`: limits on the load of an endpoint.
+//! - `retry`, `retry_after`: retries by the gateway and by clients.
+//! - [`fleet_clock`]: the clock that gateways share through the counter.
 //!
 //! # What the host must provide
 //!
-//! - One engine for each gateway process. After a restart, a new engine with a fresh seed and the last
-//!   endpoint list. No two engines share a seed, or they would make the same random choices.
-//! - Clocks that agree among gateways to well within the shortest quota window of any plan, as counter keys
-//!   are derived from window numbers: gateways whose clocks differ by a window grant the quota twice. A host
-//!   whose clock may be off keeps a [`fleet_clock::FleetClock`] and reports its offset with
+//! - One engine for each gateway process, and after a restart a new engine with a fresh seed and the last
+//!   endpoint list. No two engines share a seed, as they would make the same random choices.
+//! - Gateway clocks that differ by much less than the shortest quota window of any plan, as counter keys are
+//!   derived from window numbers: gateways whose clocks differ by a window grant the quota twice. A host
+//!   whose clock may be wrong keeps a [`fleet_clock::FleetClock`] and reports its offset with
 //!   [`Event::FleetClock`].
-//! - A counter that adds an amount to a key and returns the total. A call without a reply in time is reported
-//!   as [`CounterResult::Unknown`]. Each call gets one reply, in the order of the calls of a key.
-//! - Every timer that was set, once, at or after its time.
-//! - Exactly one [`Event::AttemptEnded`] for every [`Action::ForwardAttempt`], by the client's deadline at
-//!   the latest.
+//! - A counter that adds an amount to a key and returns the total. Each call gets one reply, in the order of
+//!   the calls for a key. A call that times out is reported as [`CounterResult::Unknown`].
+//! - One [`Event::Timer`] for each [`Action::SetTimer`], at its time or later.
+//! - Exactly one [`Event::AttemptEnded`] for each [`Action::ForwardAttempt`], no later than the client's
+//!   deadline.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -115,9 +115,9 @@
     DedupScope, Idempotency, LoadReportSource, QuotaPlan, RequestClass, Settings, SettingsError,
 };
 
-/// A name that the host passes in and gets back unchanged: a tenant, endpoint, class, plan or zone.
+/// A name that the host chooses and the policy returns unchanged: of a tenant, endpoint, class, plan or zone.
 pub type Name = std::sync::Arc<str>;
-/// Milliseconds: a point in time on the host's clock, or a duration.
+/// A point in time on the host's clock, or a duration, in milliseconds.
 pub type Millis = f64;
-/// The host's number for a request; never used twice.
+/// The number that the host gives a request; never reused.
 pub type RequestId = u64;
--- a/policy/src/settings.rs
+++ b/policy/src/settings.rs
@@ -1,7 +1,7 @@
-//! The settings of a gateway, their units, and their validation.
+//! The settings of a gateway and their validation.
 //!
-//! Everything the policy knows about a deployment comes from here: request classes, quota plans, and what the
-//! surrounding system allows. Nothing is read from a clock, a file or the environment.
+//! They hold all that the policy knows about a deployment: its request classes, its quota plans, and the
+//! capabilities and limits of the host. The policy reads no clock, no file and no environment variable.
 
 use crate::{Millis, Name};
 
@@ -10,19 +10,19 @@
 /// The index of a plan in [`Settings::plans`].
 pub(crate) type PlanIndex = usize;
 
-/// What may be done with a request whose earlier attempt may have run.
+/// Whether a request may be repeated after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May be repeated at any time.
+    /// It may be repeated at any time.
     Idempotent,
-    /// Carries an idempotency key: endpoints that share a [`DedupScope`] drop a repeat within the dedup
+    /// It carries an idempotency key: endpoints of the same [`DedupScope`] drop duplicates within the dedup
     /// window.
     WithKey,
-    /// Must never run twice.
+    /// It must not run twice.
     NonIdempotent,
 }
 
-/// The endpoints that recognize a repeated idempotency key together.
+/// The set of endpoints that share a record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All endpoints.
@@ -33,63 +33,66 @@
     Cell,
 }
 
-/// One class of requests.
+/// A class of requests with the same objective, weight and idempotency.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
     /// The name that arrivals refer to.
     pub name: Name,
-    /// A response within this time has its full value.
+    /// A response within this time has its full weight.
     pub latency_objective: Millis,
-    /// What may be done with a request that may have run.
+    /// Whether a request may be repeated after an attempt that may have run.
     pub idempotency: Idempotency,
-    /// Who recognizes a repeated idempotency key.
+    /// The endpoints that detect a duplicate idempotency key.
     pub dedup_scope: DedupScope,
-    /// How long a repeated key is recognized, from the first attempt that may have run.
+    /// How long a duplicate key is detected, from the first attempt that may have run.
     pub dedup_window: Millis,
-    /// The value of a response; requests of a lower weight are shed first.
+    /// The relative value of a response; requests of a lower weight are shed first.
     pub priority_weight: f64,
-    /// The fraction of the weight that a response after the latency objective still has.
+    /// The fraction of the weight that is left to a response after the latency objective.
     pub late_weight_fraction: f64,
 }
 
-/// The quota that each tenant of this plan holds over all gateways together.
+/// A quota plan: the limits of each of its tenants, over all gateways together.
 #[derive(Clone, Debug)]
 pub struct QuotaPlan {
     /// The name that arrivals refer to.
     pub name: Name,
-    /// Units per second; 0 for no rate quota.
+    /// The refill rate of the quota in units per second; 0 for no quota.
     pub rate: f64,
-    /// The most units that may be used at once.
+    /// The most units that a tenant may use at once.
     pub burst: f64,
-    /// The most attempts of a tenant in flight at once; 0 for no limit.
+    /// The most attempts of a tenant that may be in flight at once; 0 for no limit.
     pub max_in_flight: u32,
-    /// Units per second by which the hard ceiling refills; 0 for no ceiling.
+    /// The refill rate of the hard ceiling in units per second; 0 for no ceiling.
     pub ceiling_rate: f64,
-    /// The most units that the ceiling holds.
+    /// The most units that the ceiling allows at once.
     pub ceiling_burst: f64,
-    /// Units by which the ceiling may be exceeded.
+    /// The units by which the ceiling may be exceeded.
     pub ceiling_slack: f64,
-    /// A factor on the priority weight of the plan's requests.
+    /// Multiplies the priority weight of the plan's requests.
     pub weight_factor: f64,
-    /// The fraction of its weight that a request beyond the quota earns.
+    /// The value of serving a request that is over quota, as a fraction of its priority weight.
     pub over_quota_weight: f64,
-    /// The fraction of its weight that a request beyond the quota costs.
+    /// The cost of serving a request that is over quota, as a fraction of its priority weight.
     pub over_quota_cost: f64,
 }
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadReportSource {
-    /// There are none.
+    /// Endpoints send no load reports.
     #[default]
     None,
-    /// With the responses to requests.
+    /// Responses to requests.
     Responses,
-    /// With the responses to health checks only.
+    /// Responses to health checks only.
     HealthChecks,
 }
 
-/// What a gateway knows at its start. The default holds zeros and no classes, and has to be filled in.
+/// The settings of one gateway.
+///
+/// The default holds zeros and no request classes. It does not pass validation, and serves as the base of
+/// struct update syntax.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// The number of gateways in the fleet.
@@ -98,49 +101,51 @@
     pub gateway_index: u32,
     /// The zone of this gateway.
     pub zone: Name,
-    /// The shortest time between two calls of [`PolicyEngine::handle`](crate::PolicyEngine::handle).
+    /// The time resolution of the host: the shortest time between two calls of
+    /// [`PolicyEngine::handle`](crate::PolicyEngine::handle).
     pub tick: Millis,
-    /// The request classes.
+    /// The request classes; at least one.
     pub classes: Vec<RequestClass>,
-    /// The quota plans.
+    /// The quota plans that arrivals refer to.
     pub plans: Vec<QuotaPlan>,
-    /// Whether there is a shared counter.
+    /// Whether the gateways share a counter.
     pub has_counter: bool,
-    /// A counter call without a reply for this long is given up.
+    /// The timeout of a counter call.
     pub counter_timeout: Millis,
-    /// Whether the units that a request really used come with its response.
+    /// Whether responses report the units that the request actually used.
     pub settles_usage: bool,
-    /// The most units of one request.
+    /// The most units of one request; 0 for no limit.
     pub max_units: f64,
     /// Where load reports come from.
     pub load_report_source: LoadReportSource,
-    /// Whether health checks are allowed.
+    /// Whether the gateway may send health checks.
     pub health_checks: bool,
-    /// Whether gateways may send each other messages.
+    /// Whether gateways may send messages to each other.
     pub gossip: bool,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Whether the endpoint list has to be polled.
+    /// Whether endpoint lists have to be requested with
+    /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints).
     pub polls_endpoints: bool,
-    /// A connection that is not established within this time has failed.
+    /// The timeout for establishing a connection to an endpoint.
     pub connect_timeout: Millis,
     /// The most attempts of one request.
     pub max_attempts: u32,
-    /// The longest Retry-After that clients follow.
+    /// The longest Retry-After that clients follow; 0 if they are sent none.
     pub max_retry_after: Millis,
-    /// An endpoint starts with this fraction of its capacity or more.
+    /// The least fraction of its capacity that an endpoint has when it starts.
     pub slow_start_initial_fraction: f64,
-    /// An endpoint has its full capacity after this time at most.
+    /// The longest time from the start of an endpoint until it has its full capacity.
     pub slow_start_duration: Millis,
-    /// An endpoint in slow start fails when it gets more than this multiple of its present capacity.
+    /// An endpoint in slow start fails at a load above this multiple of its current capacity.
     pub overload_factor: f64,
-    /// The time over which that load is measured.
+    /// The time over which that load is averaged.
     pub overload_window: Millis,
-    /// The score lost per request that crosses zones.
+    /// The score that is lost for each request that is forwarded to another zone.
     pub cross_zone_cost: f64,
 }
 
-/// Settings that cannot be used.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// There are no request classes.
@@ -149,17 +154,17 @@
     /// A value is negative, not finite, or zero where it must not be.
     #[error("settings: {name} is {value}, expected {expected}")]
     InvalidValue {
-        /// Which value.
+        /// The name of the setting.
         name: &'static str,
-        /// What it is.
+        /// The invalid value.
         value: f64,
-        /// What it may be.
+        /// A description of the valid values.
         expected: &'static str,
     },
-    /// The gateway's index is not below the number of gateways.
+    /// The gateway index is not below the number of gateways.
     #[error("settings: gateway index {index} is not below the number of gateways, {count}")]
     GatewayIndexOutOfRange {
-        /// The gateway's index.
+        /// The gateway index.
         index: u32,
         /// The number of gateways.
         count: u32,
@@ -167,7 +172,7 @@
 }
 
 impl Settings {
-    /// Returns the first error of the settings, if there is one.
+    /// Checks the settings. Returns the first error that is found.
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -203,8 +208,8 @@
 }
 
 impl QuotaPlan {
-    /// Returns a plan of `rate` units per second and no other limit. Requests beyond the quota earn nothing
-    /// and cost their weight.
+    /// Returns a plan with a quota and no other limit. A request that is over quota has no value and costs
+    /// its full weight.
     pub fn new(name: impl Into<Name>, rate: f64, burst: f64) -> Self {
         Self {
             name: name.into(),
