--- a/policy/tests/common/actions.rs
+++ b/policy/tests/common/actions.rs
@@ -1,8 +1,8 @@
-//! What a list of actions holds.
+//! Queries on the actions of an event.
 
 use ryefront_policy::{Action, Name, RequestId};
 
-/// A call that the counter is to answer.
+/// An increment of the shared counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct CounterCall {
     pub(crate) key: u64,
@@ -17,7 +17,7 @@
     })
 }
 
-/// Returns request and endpoint of the first attempt that is forwarded.
+/// Returns the request and the endpoint of the first forwarded attempt.
 pub(crate) fn forwarded(actions: &[Action]) -> Option<(RequestId, Name)> {
     actions.iter().find_map(|action| match action {
         Action::ForwardAttempt { id, endpoint, .. } => Some((*id, endpoint.clone())),
@@ -25,17 +25,15 @@
     })
 }
 
-/// Returns how many attempts are forwarded.
+/// Returns the number of forwarded attempts.
 pub(crate) fn forward_count(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::ForwardAttempt { .. })).count()
 }
 
-/// Returns whether a request is rejected.
 pub(crate) fn is_rejected(actions: &[Action], request: RequestId) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { id, .. } if *id == request))
 }
 
-/// Returns whether a request fails.
 pub(crate) fn is_failed(actions: &[Action], request: RequestId) -> bool {
     actions.iter().any(|action| matches!(action, Action::Fail { id } if *id == request))
 }
--- a/policy/tests/common/counter.rs
+++ b/policy/tests/common/counter.rs
@@ -1,23 +1,23 @@
-//! A stand-in for the shared counter.
+//! An in-memory fake of the shared counter.
 
 use ryefront_policy::{CounterResult, Event, Millis};
 use std::collections::BTreeMap;
 
-/// How long a call takes that is answered.
+/// The latency of a call that gets a reply.
 const REPLY_LATENCY: Millis = 2.0;
-/// How long a call takes that is not answered.
+/// The time after which a call without a reply ends.
 const TIMEOUT: Millis = 50.0;
 
-/// The totals of all keys.
+/// A counter that adds amounts to keys, and is available or not from call to call.
 #[derive(Default)]
-pub(crate) struct CounterStandIn {
+pub(crate) struct FakeCounter {
     totals: BTreeMap<u64, f64>,
 }
 
-impl CounterStandIn {
-    /// Makes a call. Returns the event that it leads to, and after which time; an unavailable counter adds
-    /// nothing.
-    pub(crate) fn call(&mut self, key: u64, amount: f64, available: bool) -> (Millis, Event) {
+impl FakeCounter {
+    /// Adds an amount to a key. Returns the reply event and the time until it is due. An unavailable counter
+    /// adds nothing, and its result is unknown.
+    pub(crate) fn increment(&mut self, key: u64, amount: f64, available: bool) -> (Millis, Event) {
         let (result, latency) = if available {
             let total = self.totals.entry(key).or_default();
             *total += amount;
@@ -28,7 +28,6 @@
         (latency, Event::CounterReply { key, result, latency })
     }
 
-    /// Loses all counts.
     pub(crate) fn lose_counts(&mut self) {
         self.totals.clear();
     }
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Helpers of the policy tests: settings, requests, a gateway driven by scripted events, random numbers,
-//! virtual time, and a stand-in for the shared counter.
+//! Helpers of the policy tests: settings, requests, a gateway driven by scripted events, random numbers, a
+//! queue of simulated events, and a fake of the shared counter.
 #![allow(dead_code, unused_imports)]
 
 mod actions;
@@ -10,7 +10,7 @@
 mod settings;
 
 pub(crate) use actions::{CounterCall, counter_call, forward_count, forwarded, is_failed, is_rejected};
-pub(crate) use counter::CounterStandIn;
+pub(crate) use counter::FakeCounter;
 pub(crate) use gateway::TestGateway;
 pub(crate) use random::Random;
 pub(crate) use schedule::Schedule;
--- a/policy/tests/common/settings.rs
+++ b/policy/tests/common/settings.rs
@@ -1,9 +1,9 @@
-//! Settings, requests and endpoint list entries for tests to change.
+//! Default settings, requests and endpoint list entries, which tests modify.
 
 use ryefront_policy::*;
 
-/// Returns settings with an idempotent class, one with keys and a non-idempotent one, a plain plan, one under
-/// a ceiling and one with a limit of attempts in flight.
+/// Returns settings with an idempotent class, one with idempotency keys and a non-idempotent one, and with a
+/// plan that has only a quota, one with a ceiling and one with a limit of attempts in flight.
 pub(crate) fn settings() -> Settings {
     Settings {
         gateway_count: 2,
@@ -42,16 +42,16 @@
     }
 }
 
-/// Returns a plan of 5 units a second and a burst of 10, with a ceiling of so many times as much.
-fn plan(name: &str, max_in_flight: u32, ceiling: f64) -> QuotaPlan {
+/// Returns a plan of 5 units per second and a burst of 10, with a ceiling of `ceiling_factor` times as much.
+fn plan(name: &str, max_in_flight: u32, ceiling_factor: f64) -> QuotaPlan {
     QuotaPlan {
         name: name.into(),
         rate: 5.0,
         burst: 10.0,
         max_in_flight,
-        ceiling_rate: 5.0 * ceiling,
-        ceiling_burst: 10.0 * ceiling,
-        ceiling_slack: ceiling,
+        ceiling_rate: 5.0 * ceiling_factor,
+        ceiling_burst: 10.0 * ceiling_factor,
+        ceiling_slack: ceiling_factor,
         weight_factor: 1.0,
         over_quota_weight: 0.0,
         over_quota_cost: 1.0,
@@ -64,7 +64,7 @@
     EndpointEntry { name: name.into(), zone: "z1".into(), cell, state, started_at }
 }
 
-/// Returns a first attempt of one unit, of a tenant that two gateways serve.
+/// Returns the arrival of a request of one unit, from a tenant that two gateways serve.
 pub(crate) fn arrival(id: RequestId, tenant: &str, plan: &str, class: &str) -> Arrival {
     Arrival {
         id,
--- a/policy/tests/quota_ceiling.rs
+++ b/policy/tests/quota_ceiling.rs
@@ -107,7 +107,7 @@
     started: u64,
     schedule: Schedule<Step>,
     now: Millis,
-    counter: CounterStandIn,
+    counter: FakeCounter,
     /// The units of each request.
     units: BTreeMap<RequestId, f64>,
     /// The units left under the ceiling, as of `refilled_at`.
@@ -130,7 +130,7 @@
             started: 0,
             schedule: Schedule::new(),
             now: 0.0,
-            counter: CounterStandIn::default(),
+            counter: FakeCounter::default(),
             units: BTreeMap::new(),
             level,
             refilled_at: 0.0,
@@ -210,7 +210,7 @@
                 }
                 Action::IncrementCounter { key, amount, .. } => {
                     let available = !self.case.outage.contains(self.now);
-                    let (latency, reply) = self.counter.call(key, amount, available);
+                    let (latency, reply) = self.counter.increment(key, amount, available);
                     self.schedule.at(self.now + latency, Step::Handle(gateway, reply));
                 }
                 Action::ForwardAttempt { id, endpoint, .. } => self.forward(gateway, id, endpoint),
--- a/policy/tests/slow_start/fleet.rs
+++ b/policy/tests/slow_start/fleet.rs
@@ -1,6 +1,6 @@
 //! A simulation in virtual time: a fleet of policy engines, a counter, and endpoints in slow start.
 
-use crate::common::{CounterStandIn, Random, Schedule, arrival, endpoint};
+use crate::common::{FakeCounter, Random, Schedule, arrival, endpoint};
 use crate::scenario::*;
 use ryefront_policy::*;
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
     gateways: Vec<PolicyEngine>,
     schedule: Schedule<Step>,
     now: Millis,
-    counter: CounterStandIn,
+    counter: FakeCounter,
     /// The number of the last attempt of each request, from 0.
     last_attempt: BTreeMap<RequestId, u32>,
     /// Whether each gateway has learned of the start.
@@ -65,7 +65,7 @@
             gateways,
             schedule: Schedule::new(),
             now: 0.0,
-            counter: CounterStandIn::default(),
+            counter: FakeCounter::default(),
             last_attempt: BTreeMap::new(),
             forwarded_by_endpoint: starting.map(|name| (name, Vec::new())).collect(),
             total_forwarded: 0,
@@ -150,7 +150,7 @@
                 self.schedule.at(self.now + after, Step::Handle(gateway, Event::Timer { token }));
             }
             Action::IncrementCounter { key, amount, .. } => {
-                let (latency, reply) = self.counter.call(key, amount, self.scenario.counter_available);
+                let (latency, reply) = self.counter.increment(key, amount, self.scenario.counter_available);
                 self.schedule.at(self.now + latency, Step::Handle(gateway, reply));
             }
             Action::ForwardAttempt { id, endpoint, .. } => {
