--- a/policy/examples/loop.rs
+++ b/policy/examples/loop.rs
@@ -1,6 +1,6 @@
-//! A host's event loop around one policy engine: timers, a counter, an endpoint, and a restart.
+//! The event loop of a host with one policy engine: timers, a counter, an endpoint, and a restart.
 //!
-//! Time is a plain number here. A real host uses a clock that agrees with those of the other gateways.
+//! The example simulates time. A real host uses a clock that agrees with those of the other gateways.
 
 use ryefront_policy::{
     Action, Arrival, AttemptEnd, CounterResult, DedupScope, EndpointEntry, EndpointState, Event, Idempotency,
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 const RESTART_AT: Millis = 60.0;
-const END: Millis = 500.0;
+const END_AT: Millis = 500.0;
 const COUNTER_LATENCY: Millis = 2.0;
 const ENDPOINT_LATENCY: Millis = 40.0;
 
@@ -18,7 +18,7 @@
     host.schedule_endpoint_list();
     (1..=8).for_each(|id| host.schedule_request(id));
     let mut restarted = false;
-    while let Some((now, event)) = host.next_event().filter(|(now, _)| *now <= END) {
+    while let Some((now, event)) = host.next_event().filter(|(now, _)| *now <= END_AT) {
         host.now = now;
         if now > RESTART_AT && !std::mem::replace(&mut restarted, true) {
             host.restart(43)?;
@@ -28,15 +28,18 @@
     Ok(())
 }
 
-/// The host: the engine, the events to come, and stand-ins for counter and endpoint.
+/// A host with its engine, its scheduled events, and the state of a simulated counter and endpoint.
 struct Host {
     engine: PolicyEngine,
     now: Millis,
-    /// By time in whole milliseconds, and by order.
+    /// By time in whole milliseconds, then by sequence number.
     events: BTreeMap<(u64, u64), Event>,
-    order: u64,
-    totals: BTreeMap<u64, f64>,
-    attempts: BTreeMap<RequestId, u32>,
+    /// The sequence number of the event that was scheduled last.
+    last_sequence: u64,
+    /// The total of each counter key.
+    counter_totals: BTreeMap<u64, f64>,
+    /// The number of the last attempt of each request, from 0.
+    last_attempts: BTreeMap<RequestId, u32>,
 }
 
 impl Host {
@@ -45,15 +48,15 @@
             engine: PolicyEngine::new(settings(), seed)?,
             now: 0.0,
             events: BTreeMap::new(),
-            order: 0,
-            totals: BTreeMap::new(),
-            attempts: BTreeMap::new(),
+            last_sequence: 0,
+            counter_totals: BTreeMap::new(),
+            last_attempts: BTreeMap::new(),
         })
     }
 
     fn schedule(&mut self, at: Millis, event: Event) {
-        self.order += 1;
-        self.events.insert((at.ceil() as u64, self.order), event);
+        self.last_sequence += 1;
+        self.events.insert((at.ceil() as u64, self.last_sequence), event);
     }
 
     fn schedule_endpoint_list(&mut self) {
@@ -86,8 +89,8 @@
         self.events.pop_first().map(|((at, _), event)| (at as Millis, event))
     }
 
-    /// Replaces the engine by a new one, with a fresh seed and the last endpoint list. Requests in progress
-    /// are lost; their clients retry.
+    /// Replaces the engine by a new one with a fresh seed, and schedules the last endpoint list for it.
+    /// Requests in progress are lost; their clients retry.
     fn restart(&mut self, seed: u64) -> Result<(), SettingsError> {
         self.engine = PolicyEngine::new(settings(), seed)?;
         self.events.retain(|_, event| matches!(event, Event::RequestArrived(_)));
@@ -120,7 +123,7 @@
     }
 
     fn increment_counter(&mut self, key: u64, amount: f64) {
-        let total = self.totals.entry(key).or_default();
+        let total = self.counter_totals.entry(key).or_default();
         *total += amount;
         let result = CounterResult::Total(*total);
         let reply = Event::CounterReply { key, result, latency: COUNTER_LATENCY };
@@ -129,7 +132,7 @@
 
     fn forward(&mut self, id: RequestId, endpoint: Name) {
         println!("{:>5} ms  request {id} forwarded to {endpoint}", self.now);
-        let attempt = *self.attempts.entry(id).and_modify(|attempt| *attempt += 1).or_insert(0);
+        let attempt = *self.last_attempts.entry(id).and_modify(|attempt| *attempt += 1).or_insert(0);
         let end = AttemptEnd {
             id,
             attempt,
