--- a/policy/src/response_latency.rs
+++ b/policy/src/response_latency.rs
@@ -7,8 +7,8 @@
 use crate::settings::ClassIndex;
 use crate::{Millis, Outcome};
 
-/// The part of the latency objective that an attempt may take; the rest is for the network and for waiting at
-/// the gateway.
+/// The fraction of the latency objective that a timely attempt may take; the rest is left for the network and
+/// for waiting.
 const OBJECTIVE_FRACTION: f64 = 0.6;
 /// The weight of a new sample in the moving average of a class's latency.
 const SMOOTHING_FACTOR: f64 = 0.02;
@@ -25,7 +25,7 @@
 }
 
 impl Timeliness {
-    /// Returns late for a latency above `limit`.
+    /// Returns [`Late`](Self::Late) for a latency above `limit`.
     fn of(latency: Millis, limit: Millis) -> Self {
         if latency > limit { Self::Late } else { Self::InTime }
     }
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -28,7 +28,8 @@
     safe && now < forward_deadline(request, settings) && request.attempts < settings.max_attempts
 }
 
-/// Returns whether a retry by the client is safe, which a rejection promises.
+/// Returns whether a retry by the client is safe. A rejection promises that it is, so a request
+/// without another attempt fails where it is not.
 pub(crate) fn is_client_retry_safe(request: &Request, class: &RequestClass) -> bool {
     request.first_ambiguous_attempt.is_none()
         || class.idempotency == Idempotency::Idempotent
