--- a/policy/src/fleet_clock.rs
+++ b/policy/src/fleet_clock.rs
@@ -1,16 +1,16 @@
 //! A clock that the gateways of a fleet share, kept on the shared counter.
 //!
 //! Counter keys are derived from window numbers, so gateways must agree on the time. The wall clocks of their
-//! machines may be stepped and need not agree; what all gateways see alike is the counter. One fixed key, the
-//! register, holds the fleet's time at which it was written, and expires [`LIFE`] later. A gateway that reads
-//! it knows the fleet's time to within that; further reads narrow the bounds, by intersection of intervals as
-//! in Marzullo's algorithm. A gateway that finds it empty writes the fleet's time by its own bounds. When the
-//! register expires, a few gateways chosen at random read it, so that the number of calls does not grow with
-//! the fleet.
+//! machines may be stepped and need not agree, but all gateways see the same counter. One fixed counter key,
+//! the register, holds the fleet's time at which it was written, and expires [`REGISTER_TTL`] later. A
+//! gateway that reads it knows the fleet's time to within that; further reads narrow the bounds, by
+//! intersection of intervals as in Marzullo's algorithm. A synchronized gateway that finds the register empty
+//! writes the fleet's time to it, as estimated within its bounds. When the register expires, a few gateways
+//! chosen at random read it, so that the number of calls does not grow with the fleet.
 //!
 //! A gateway that starts and finds the register empty is the first of its fleet only if no gateway has been
-//! present for a minute (module `presence`). Otherwise it waits for the register to be written again, for a
-//! moment if its own time may be the fleet's, and longer if it surely is not.
+//! present for a minute (module `presence`). Otherwise it waits for the register to be written again:
+//! `RENEWAL_WAIT` if its own clock may agree with the fleet's, `RECOVERY_WAIT` if it certainly does not.
 //!
 //! The state machine does no I/O: the host makes the calls that [`FleetClock::poll`] returns, reports how
 //! they ended, and passes [`FleetClock::time`] to its engine with
@@ -20,7 +20,7 @@
 mod change;
 mod presence;
 
-pub use call::RegisterCall;
+pub use call::CounterCall;
 pub use change::ClockChange;
 
 use crate::hash::hash;
@@ -30,9 +30,9 @@
 use presence::{Presence, PresenceKey, SlotNumber, slot_at};
 
 /// The fleet's time is kept modulo this, as a total is exact to seven digits only.
-pub const CYCLE: Millis = 4_000_000.0;
+pub const TIME_MODULUS: Millis = 4_000_000.0;
 /// How long the register lasts.
-pub const LIFE: Millis = 1000.0;
+pub const REGISTER_TTL: Millis = 1000.0;
 /// The resolution of the time in the register.
 const RESOLUTION: Millis = 10.0;
 /// A total below this is that of an empty register.
@@ -203,7 +203,7 @@
     }
 
     /// Returns the call to make now, if there is one. Its result is to be passed to [`Self::record_reply`].
-    pub fn poll(&mut self, now: Millis) -> Option<RegisterCall> {
+    pub fn poll(&mut self, now: Millis) -> Option<CounterCall> {
         if self.call_in_flight.is_some() || now < self.due || !self.is_shared() {
             return None;
         }
@@ -275,7 +275,7 @@
         self.consecutive_failures += 1;
         let factor = f64::from(self.consecutive_failures - 1).exp2();
         self.due = if self.synchronized {
-            self.next_read(now) + (FIRST_SKIPPED_LIVES * factor).min(MAX_SKIPPED_LIVES) * LIFE
+            self.next_read(now) + (FIRST_SKIPPED_LIVES * factor).min(MAX_SKIPPED_LIVES) * REGISTER_TTL
         } else {
             let first = FIRST_BACKOFF.max(self.gateway_count * SPREAD_PER_GATEWAY);
             now + (first * factor).min(MAX_BACKOFF.max(first)) * (0.5 + self.draw())
@@ -287,15 +287,15 @@
         self.written_at = written_at;
         let low = centered(written_at - now);
         // What was written is younger than its key's life, and than a read that found the register empty.
-        let max_age = (now - made_at + LIFE).min(now - self.empty_at);
+        let max_age = (now - made_at + REGISTER_TTL).min(now - self.empty_at);
         let high = low + max_age + RESOLUTION + WRITE_DELAY;
         self.narrow(Bounds { low, high });
         let age = centered(self.fleet_time(now) - written_at);
         self.due = if !self.synchronized {
             now + CONVERGING_INTERVAL
-        } else if age > LIFE / 2.0 {
+        } else if age > REGISTER_TTL / 2.0 {
             // It expires soon, and some gateway has to write it anew.
-            now + (LIFE - age).max(0.0) + READ_SPREAD / 4.0 * self.draw()
+            now + (REGISTER_TTL - age).max(0.0) + READ_SPREAD / 4.0 * self.draw()
         } else {
             self.next_read(now)
         };
@@ -305,7 +305,7 @@
     fn on_empty(&mut self, now: Millis) {
         match (self.bounds, self.awaited) {
             (Some(bounds), _) if !self.synchronized => {
-                let low = centered(self.written_at + LIFE - WRITE_DELAY - now);
+                let low = centered(self.written_at + REGISTER_TTL - WRITE_DELAY - now);
                 self.narrow(Bounds { low, high: bounds.high.max(low) });
             }
             (None, None) if !self.synchronized => {
@@ -313,11 +313,7 @@
                 return self.call_at_once(now, first);
             }
             (None, Some(fleet)) if now >= fleet.until => {
-                self.use_own_time(if fleet.contradicted {
-                    ClockChange::Replaced
-                } else {
-                    ClockChange::Resumed
-                });
+                self.use_own_time(if fleet.contradicted { ClockChange::Reset } else { ClockChange::Resumed });
             }
             _ => {}
         }
@@ -343,7 +339,7 @@
         };
         let presence = shown.or(other);
         if presence == Presence::Absent {
-            self.use_own_time(ClockChange::FirstOfFleet);
+            self.use_own_time(ClockChange::Initialized);
             return self.write(now);
         }
         let contradicted = presence.contradicts(self.fleet_time(now));
@@ -376,7 +372,8 @@
         let is_first = self.bounds.is_none();
         // A mark that would be nearly as old as its key's life by this gateway's own time is rather one
         // that has just been written, while this clock is ahead.
-        let own_time_fits = is_first && (low..=(low + LIFE).min(high) - WRITE_DELAY).contains(&self.offset);
+        let own_time_fits =
+            is_first && (low..=(low + REGISTER_TTL).min(high) - WRITE_DELAY).contains(&self.offset);
         let narrow = high - low <= NARROW_BOUNDS;
         self.synchronized |= own_time_fits || narrow || self.reads >= MAX_CONVERGING_READS;
         self.bounds = Some(Bounds { low, high });
@@ -385,7 +382,7 @@
         let by = self.offset - self.reported_offset;
         if self.synchronized && by.abs() >= MIN_REPORTED_MOVE {
             self.reported_offset = self.offset;
-            self.change = Some(ClockChange::Moved { by });
+            self.change = Some(ClockChange::Adjusted { by });
         }
     }
 
@@ -395,12 +392,12 @@
         let probability = (READERS / self.gateway_count).min(1.0);
         let skipped_lives =
             if probability < 1.0 { (self.draw().ln() / (1.0 - probability).ln()).floor() } else { 0.0 };
-        let rest_of_life = LIFE - self.fleet_time(now) % LIFE;
-        now + rest_of_life + skipped_lives * LIFE + READ_SPREAD * self.draw()
+        let rest_of_life = REGISTER_TTL - self.fleet_time(now) % REGISTER_TTL;
+        now + rest_of_life + skipped_lives * REGISTER_TTL + READ_SPREAD * self.draw()
     }
 
     fn fleet_time(&self, now: Millis) -> Millis {
-        (now + self.offset).rem_euclid(CYCLE)
+        (now + self.offset).rem_euclid(TIME_MODULUS)
     }
 
     fn mark(&self, now: Millis) -> f64 {
@@ -415,5 +412,5 @@
 
 /// Returns the difference between two of the fleet's times that is nearest to 0.
 fn centered(difference: Millis) -> Millis {
-    (difference + CYCLE / 2.0).rem_euclid(CYCLE) - CYCLE / 2.0
+    (difference + TIME_MODULUS / 2.0).rem_euclid(TIME_MODULUS) - TIME_MODULUS / 2.0
 }
--- a/policy/src/fleet_clock/call.rs
+++ b/policy/src/fleet_clock/call.rs
@@ -1,7 +1,7 @@
 //! The calls of the fleet clock to the counter, and the marks that the register holds.
 
 use super::presence::{self, PRESENCE_LIFE, Presence, PresenceKey, SlotNumber};
-use super::{CYCLE, FleetClock, LIFE, RESOLUTION};
+use super::{FleetClock, REGISTER_TTL, RESOLUTION, TIME_MODULUS};
 use crate::Millis;
 
 /// A key that is only read is not kept.
@@ -14,7 +14,7 @@
 
 /// A call of the counter that the host is to make.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RegisterCall {
+pub struct CounterCall {
     /// The counter key.
     pub key: u64,
     /// What to add.
@@ -48,16 +48,16 @@
 
 impl Call {
     /// Returns the call of the counter.
-    pub(super) fn to_counter(self) -> RegisterCall {
-        let register = |amount| RegisterCall { key: FleetClock::register_key(), amount, ttl: LIFE };
+    pub(super) fn to_counter(self) -> CounterCall {
+        let register = |amount| CounterCall { key: FleetClock::register_key(), amount, ttl: REGISTER_TTL };
         match self {
             Self::Read { .. } => register(0.0),
             Self::Write { mark } => register(mark),
             Self::Undo { mark } => register(-mark),
             Self::ReadPresence { key, .. } => {
-                RegisterCall { key: key.counter_key(), amount: 0.0, ttl: READ_TTL }
+                CounterCall { key: key.counter_key(), amount: 0.0, ttl: READ_TTL }
             }
-            Self::AddPresence { slot } => RegisterCall {
+            Self::AddPresence { slot } => CounterCall {
                 key: PresenceKey::of_slot(slot).counter_key(),
                 amount: presence::amount(slot),
                 ttl: PRESENCE_LIFE,
@@ -75,5 +75,5 @@
 pub(super) fn time_of_mark(total: f64) -> Option<Millis> {
     let steps = (total - TAG) / TAG_RANGE;
     let time = steps * RESOLUTION;
-    (steps.fract().abs() < 1e-9 && (0.0..CYCLE).contains(&time)).then_some(time)
+    (steps.fract().abs() < 1e-9 && (0.0..TIME_MODULUS).contains(&time)).then_some(time)
 }
--- a/policy/src/fleet_clock/change.rs
+++ b/policy/src/fleet_clock/change.rs
@@ -1,42 +1,48 @@
-//! What an operator should know of a gateway's fleet clock.
+//! Changes of a gateway's fleet clock that the host logs.
 
 use crate::Millis;
 use std::fmt;
 
-/// Something that an operator should know of a gateway's fleet clock.
+/// A change of a gateway's fleet clock that the host logs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClockChange {
-    /// No gateway was present: this one's own time is the fleet's.
-    FirstOfFleet,
-    /// Gateways were present within the last minute, but none has written the register. This one's own time
-    /// is the fleet's from now on, and it may have been so before.
+    /// No gateway was present within the last minute: this gateway's own clock becomes the fleet's.
+    Initialized,
+    /// Gateways were present within the last minute, but none has written the register. This gateway's own
+    /// clock becomes the fleet's; it may agree with the time that the fleet had before.
     Resumed,
-    /// The same, but this gateway's own time was not the fleet's before: earlier counts cannot be found.
-    Replaced,
+    /// As [`Self::Resumed`], but this gateway's own clock contradicts the time that the fleet had before, so
+    /// that earlier counts cannot be found.
+    Reset,
     /// The offset from this gateway's own clock has changed.
-    Moved {
-        /// By how much the fleet's time at this gateway has jumped.
+    Adjusted {
+        /// The change of the offset since the last one that was reported.
         by: Millis,
     },
 }
 
 impl ClockChange {
-    /// Returns whether the counts of the fleet until now cannot be found any more, so that the host is to
-    /// pass [`Event::CountsLost`](crate::Event::CountsLost) to its engine.
+    /// Returns whether the fleet's counts until now cannot be found any more, so that the host has to pass
+    /// [`Event::CountsLost`](crate::Event::CountsLost) to its engine.
     pub fn loses_counts(self) -> bool {
-        self == Self::Replaced
+        self == Self::Reset
     }
 }
 
 impl fmt::Display for ClockChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::FirstOfFleet => f.write_str("no other gateway was present, using this machine's time"),
-            Self::Resumed => f.write_str("no other gateway keeps the time, using this machine's"),
-            Self::Replaced => f.write_str(
-                "no other gateway keeps the time, and this machine's differs; quotas are taken as spent",
+            Self::Initialized => {
+                f.write_str("no other gateway was present in the last minute; using the local clock")
+            }
+            Self::Resumed => {
+                f.write_str("no other gateway maintains the fleet's time; using the local clock")
+            }
+            Self::Reset => f.write_str(
+                "no other gateway maintains the fleet's time, and the local clock differs from it; using the \
+                 local clock and treating quotas as spent",
             ),
-            Self::Moved { by } => write!(f, "moved by {by:.0} ms to agree with the fleet"),
+            Self::Adjusted { by } => write!(f, "offset adjusted by {by:.0} ms to match the fleet"),
         }
     }
 }
--- a/policy/src/fleet_clock/presence.rs
+++ b/policy/src/fleet_clock/presence.rs
@@ -8,7 +8,7 @@
 //! time one of the two keys exists. Its total also tells the slot, and with it the fleet's time to within the
 //! life of the key.
 
-use super::{CYCLE, centered};
+use super::{TIME_MODULUS, centered};
 use crate::Millis;
 use crate::hash::hash;
 
@@ -51,7 +51,7 @@
 
 /// Returns the slot of a time of the fleet.
 pub(super) fn slot_at(fleet_time: Millis) -> SlotNumber {
-    (fleet_time.rem_euclid(CYCLE) / SLOT_LENGTH) as SlotNumber
+    (fleet_time.rem_euclid(TIME_MODULUS) / SLOT_LENGTH) as SlotNumber
 }
 
 /// Returns what a gateway adds to the presence key of a slot.
@@ -76,7 +76,7 @@
         }
         let gateways = (total / GATEWAY_AMOUNT).floor();
         let slot = (total - gateways * GATEWAY_AMOUNT) / gateways;
-        let is_slot = slot.fract().abs() < 1e-6 && slot < CYCLE / SLOT_LENGTH;
+        let is_slot = slot.fract().abs() < 1e-6 && slot < TIME_MODULUS / SLOT_LENGTH;
         Self::Present { slot: is_slot.then_some(slot as SlotNumber) }
     }
 
--- a/policy/src/quota/window.rs
+++ b/policy/src/quota/window.rs
@@ -1,6 +1,6 @@
 //! Quota windows: the clock they are derived from, their numbers, and their counter keys.
 
-use crate::fleet_clock::CYCLE;
+use crate::fleet_clock::TIME_MODULUS;
 use crate::hash::mix;
 use crate::random::WEYL_STEP;
 use crate::{FleetTime, Millis};
@@ -62,7 +62,7 @@
 
     pub(crate) fn now(&self, local: Millis) -> Now {
         let offset = if let FleetTime::Synchronized { offset } = self.fleet_time { offset } else { 0.0 };
-        Now { local, fleet: (local + offset).rem_euclid(CYCLE) }
+        Now { local, fleet: (local + offset).rem_euclid(TIME_MODULUS) }
     }
 
     /// Returns whether the fleet's clock is not yet known well enough to derive counter keys from it.
@@ -107,7 +107,7 @@
 
     /// Returns the time since a window began.
     pub(crate) fn elapsed(&self, window: WindowNumber, now: Now) -> Millis {
-        (now.fleet - (window as f64 * self.length - self.stagger)).rem_euclid(CYCLE)
+        (now.fleet - (window as f64 * self.length - self.stagger)).rem_euclid(TIME_MODULUS)
     }
 }
 
--- a/policy/tests/fleet_clock.rs
+++ b/policy/tests/fleet_clock.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use ryefront_policy::fleet_clock::{CYCLE, FleetClock, LIFE};
+use ryefront_policy::fleet_clock::{FleetClock, REGISTER_TTL, TIME_MODULUS};
 use ryefront_policy::*;
 use std::collections::HashMap;
 
@@ -107,7 +107,8 @@
         });
         let times: Vec<_> = synchronized.collect();
         let first = times.first().copied().unwrap_or_default();
-        let centered = |time: Millis| (time - first + CYCLE / 2.0).rem_euclid(CYCLE) - CYCLE / 2.0;
+        let centered =
+            |time: Millis| (time - first + TIME_MODULUS / 2.0).rem_euclid(TIME_MODULUS) - TIME_MODULUS / 2.0;
         let (low, high) = times.iter().fold((0.0, 0.0), |(low, high): (f64, f64), time| {
             (low.min(centered(*time)), high.max(centered(*time)))
         });
@@ -164,7 +165,7 @@
     // Marks whose replies were lost remain until they expire.
     fleet.counter_available = true;
 
-    fleet.play(20_000.0 + 8.0 * LIFE);
+    fleet.play(20_000.0 + 8.0 * REGISTER_TTL);
     let Agreement { spread, synchronized } = fleet.agreement();
 
     assert!(synchronized == 4 && spread <= 400.0, "{synchronized} synchronized, {spread} ms apart");
