--- a/policy/src/fleet_clock.rs
+++ b/policy/src/fleet_clock.rs
@@ -19,72 +19,45 @@
 mod call;
 mod change;
 mod presence;
+mod schedule;
 
 pub use call::CounterCall;
 pub use change::ClockChange;
 
 use crate::hash::hash;
-use crate::random::Random;
 use crate::{CounterResult, FleetTime, Millis};
-use call::{Call, mark_of_time, time_of_mark};
+use call::{Call, decode_time, encode_time};
 use presence::{Presence, PresenceKey, SlotNumber, slot_at};
+use schedule::{CONVERGING_INTERVAL, CallSchedule};
 
-/// The fleet's time is kept modulo this, as a total is exact to seven digits only.
+/// The fleet's time is kept modulo this, as a counter total is exact to seven digits only.
 pub const TIME_MODULUS: Millis = 4_000_000.0;
-/// How long the register lasts.
+/// The time to live of the register.
 pub const REGISTER_TTL: Millis = 1000.0;
 /// The resolution of the time in the register.
 const RESOLUTION: Millis = 10.0;
 /// A total below this is that of an empty register.
 const EMPTY_TOLERANCE: f64 = 0.5;
-/// A mark may be older than its key's life by this much, or the life older than the mark: a mark is made
-/// between the read that found the register empty and the write.
-const WRITE_DELAY: Millis = 50.0;
-/// The number of gateways that read the register each time it expires.
-const READERS: f64 = 2.0;
-/// They read within this time after it expired.
-const READ_SPREAD: Millis = 150.0;
-/// A gateway whose own time differs reads the register at this interval until its bounds are narrow, and no
-/// more often than it takes to see the register expire.
-const CONVERGING_INTERVAL: Millis = 50.0;
-/// The distance of bounds that are narrow.
-const NARROW_BOUNDS: Millis = 200.0;
+/// The most by which the age of the time in the register and the age of the register differ, either way: the
+/// time is encoded between the read that found the register empty and the write.
+const MAX_WRITE_DELAY: Millis = 50.0;
+/// Bounds at most this far apart are narrow.
+const NARROW_WIDTH: Millis = 200.0;
 /// After this many reads a gateway uses the bounds that it has, narrow or not.
 const MAX_CONVERGING_READS: u32 = 30;
-/// The mean pause after a first failure, while the time is not known, and after a read during a write.
-const FIRST_BACKOFF: Millis = 100.0;
-/// The longest mean pause between two calls that fail, while the time is not known.
-const MAX_BACKOFF: Millis = 3000.0;
-/// Once the time is known, this many lives of the register are skipped after a first failure: a counter that
-/// cannot keep up has more useful calls to answer.
-const FIRST_SKIPPED_LIVES: f64 = 2.0;
-/// The most lives of the register that are skipped after a failure.
-const MAX_SKIPPED_LIVES: f64 = 32.0;
-/// The first calls of a fleet that starts all at once, and retries, are spread over this time for each
-/// gateway, as all of them go to one key.
-const SPREAD_PER_GATEWAY: Millis = 10.0;
-/// In a fleet of more gateways than this, counter keys are derived from the gateway's own clock until the
-/// first read is answered. In a smaller one the answer comes at once and is awaited.
-const SMALL_FLEET: f64 = 16.0;
-
 /// A gateway that starts while the register has expired waits this long for it to be written again: somewhat
-/// longer than the fleet takes.
+/// longer than a running fleet takes.
 const RENEWAL_WAIT: Millis = 250.0;
-/// It waits this long where its own clock is surely not the fleet's.
+/// As [`RENEWAL_WAIT`], for a gateway whose own clock certainly differs from the fleet's.
 const RECOVERY_WAIT: Millis = 2000.0;
-/// In a fleet of more gateways than this, a gateway that writes the register leaves out the presence key at
-/// times: several others write in the same slot.
-const PRESENCE_WRITERS: f64 = 8.0;
-/// The lowest probability with which it is not left out.
-const MIN_PRESENCE_PROBABILITY: f64 = 0.25;
 /// A smaller change of the offset is not reported.
-const MIN_REPORTED_MOVE: Millis = 50.0;
+const MIN_REPORTED_ADJUSTMENT: Millis = 50.0;
 
-/// A fleet whose register has expired, as a gateway that starts sees it.
+/// The wait of a gateway that has started, for a running fleet to write its expired register again.
 #[derive(Clone, Copy, Debug)]
-struct AwaitedFleet {
-    /// This gateway's own time is surely not the fleet's.
-    contradicted: bool,
+struct RegisterWait {
+    /// Whether this gateway's own time certainly differs from the fleet's.
+    own_time_contradicted: bool,
     /// When this gateway writes the register itself.
     until: Millis,
 }
@@ -107,44 +80,42 @@
 /// One gateway's view of the fleet's clock.
 #[derive(Debug)]
 pub struct FleetClock {
-    gateway_count: f64,
-    random: Random,
-    /// How far the fleet's clock is ahead of the gateway's own, as far as is known.
+    schedule: CallSchedule,
+    /// The estimate of how far the fleet's clock is ahead of the gateway's own.
     offset: Millis,
     /// The bounds of the true offset, once the register has been read or written.
     bounds: Option<Bounds>,
     /// Whether the offset is used: once the bounds were narrow, the gateway's own time was within the first
     /// ones, it has written the register, or it has read often enough.
     synchronized: bool,
-    /// The time that the register held last.
+    /// The time that the register held when it was last read.
     written_at: Millis,
     /// When the last read was made that found the register empty.
     empty_at: Millis,
     call_in_flight: Option<Call>,
-    /// The call to make once the present one has ended.
+    /// The call to make next, if it is not a read of the register.
     next_call: Option<Call>,
     /// When to make the next call.
     due: Millis,
     /// The number of reads that narrowed the bounds.
     reads: u32,
-    consecutive_failures: u32,
-    /// The fleet whose register is awaited.
-    awaited: Option<AwaitedFleet>,
+    /// Set while a started gateway waits for a running fleet to write the register.
+    register_wait: Option<RegisterWait>,
     /// The last slot in which this gateway added to the presence key.
     presence_slot: Option<SlotNumber>,
     /// The offset by the last reported change.
     reported_offset: Millis,
-    /// What is to be reported with the present reply.
+    /// The change to return with the reply that is being handled.
     change: Option<ClockChange>,
 }
 
 impl FleetClock {
     /// Returns a clock that knows only its gateway's own time, as of `now`.
     pub fn new(gateway_count: u32, seed: u64, now: Millis) -> Self {
-        let gateway_count = f64::from(gateway_count);
-        let mut clock = Self {
-            gateway_count,
-            random: Random::new(!seed),
+        let mut schedule = CallSchedule::new(gateway_count, seed);
+        let due = schedule.first_read(now);
+        Self {
+            schedule,
             offset: 0.0,
             bounds: None,
             synchronized: false,
@@ -152,26 +123,21 @@
             empty_at: f64::NEG_INFINITY,
             call_in_flight: None,
             next_call: None,
-            due: now,
+            due,
             reads: 0,
-            consecutive_failures: 0,
-            awaited: None,
+            register_wait: None,
             presence_slot: None,
             reported_offset: 0.0,
             change: None,
-        };
-        if gateway_count > SMALL_FLEET {
-            clock.due += gateway_count * SPREAD_PER_GATEWAY * clock.draw();
         }
-        clock
     }
 
-    /// Returns the key of the register, the same at all gateways.
+    /// Returns the counter key of the register, the same at all gateways.
     pub fn register_key() -> u64 {
         hash("the fleet's clock") >> 1
     }
 
-    /// Returns whether calls of a counter key are the fleet clock's.
+    /// Returns whether `key` is one of the fleet clock's counter keys.
     pub fn uses_key(key: u64) -> bool {
         let presence_keys = [PresenceKey::Even, PresenceKey::Odd].map(PresenceKey::counter_key);
         key == Self::register_key() || presence_keys.contains(&key)
@@ -179,7 +145,7 @@
 
     /// Returns whether there are other gateways to agree with. A fleet of one makes no calls.
     pub fn is_shared(&self) -> bool {
-        self.gateway_count > 1.0
+        self.schedule.is_shared()
     }
 
     /// Returns what is known of the fleet's time. A gateway that is alone uses its own.
@@ -187,10 +153,12 @@
         if !self.is_shared() {
             return FleetTime::Synchronized { offset: 0.0 };
         }
-        let is_small = self.gateway_count <= SMALL_FLEET;
+        let is_small = self.schedule.is_small_fleet();
         match self.bounds {
-            None if self.awaited.is_some_and(|fleet| fleet.contradicted || is_small) => FleetTime::Converging,
-            None if self.consecutive_failures == 0 && is_small => FleetTime::Pending,
+            None if self.register_wait.is_some_and(|wait| wait.own_time_contradicted || is_small) => {
+                FleetTime::Converging
+            }
+            None if !self.schedule.is_failing() && is_small => FleetTime::Pending,
             None => FleetTime::Unavailable,
             Some(_) if !self.synchronized => FleetTime::Converging,
             Some(_) => FleetTime::Synchronized { offset: self.offset },
@@ -202,24 +170,24 @@
         self.due
     }
 
-    /// Returns the call to make now, if there is one. Its result is to be passed to [`Self::record_reply`].
+    /// Returns the call to make now, if there is one. Its result has to be passed to [`Self::record_reply`].
     pub fn poll(&mut self, now: Millis) -> Option<CounterCall> {
         if self.call_in_flight.is_some() || now < self.due || !self.is_shared() {
             return None;
         }
         let call = self.next_call.take().unwrap_or(Call::Read { made_at: now });
         self.call_in_flight = Some(call);
-        Some(call.to_counter())
+        Some(call.to_counter_call())
     }
 
-    /// Handles the end of the call in flight. Returns what an operator should know.
+    /// Handles the end of the call in flight. Returns a change that the host should log, if there is one.
     pub fn record_reply(&mut self, now: Millis, result: CounterResult) -> Option<ClockChange> {
         let call = self.call_in_flight.take()?;
         if let CounterResult::Total(total) = result {
-            self.consecutive_failures = 0;
+            self.schedule.record_success();
             self.on_total(now, call, total);
         } else {
-            self.on_failure(now);
+            self.due = self.schedule.retry_after_failure(now, self.fleet_time(now), self.synchronized);
         }
         self.change.take()
     }
@@ -230,20 +198,23 @@
                 self.empty_at = made_at;
                 self.on_empty(now);
             }
-            Call::Read { made_at } => match time_of_mark(total) {
+            Call::Read { made_at } => match decode_time(total) {
                 Some(written_at) => self.on_read(made_at, now, written_at),
-                // Others are writing at this moment.
-                None => self.due = now + FIRST_BACKOFF * (0.5 + self.draw()),
+                // The total is a sum of several encoded times: other gateways are writing.
+                None => self.due = self.schedule.reread_after_collision(now),
             },
-            Call::Write { mark } if (total - mark).abs() < EMPTY_TOLERANCE => self.on_written(now),
-            Call::Write { mark } => {
-                // Another gateway was first: a time that is only this one's own is not the fleet's.
+            Call::Write { encoded_time } if (total - encoded_time).abs() < EMPTY_TOLERANCE => {
+                self.on_written(now);
+            }
+            Call::Write { encoded_time } => {
+                // Another gateway wrote first. Without bounds, the time written here was only this gateway's
+                // own, which is not the fleet's.
                 self.synchronized &= self.bounds.is_some();
-                self.call_at_once(now, Call::Undo { mark });
+                self.call_at_once(now, Call::Undo { encoded_time });
             }
             Call::Undo { .. } => self.due = now,
-            Call::ReadPresence { key, other } => {
-                self.on_presence_read(now, key, other, Presence::from_total(total));
+            Call::ReadPresence { key, other_presence } => {
+                self.on_presence_read(now, key, other_presence, Presence::from_total(total));
             }
             Call::AddPresence { slot } => {
                 self.presence_slot = Some(slot);
@@ -257,160 +228,131 @@
         self.due = now;
     }
 
-    /// Handles the reply to a write that no other gateway has crossed.
+    /// Handles the reply to a write to an empty register.
     fn on_written(&mut self, now: Millis) {
         self.bounds = Some(Bounds { low: self.offset - RESOLUTION, high: self.offset + RESOLUTION });
         self.synchronized = true;
         let slot = slot_at(self.fleet_time(now));
-        let probability = (PRESENCE_WRITERS / self.gateway_count).clamp(MIN_PRESENCE_PROBABILITY, 1.0);
-        if self.presence_slot != Some(slot) && self.draw() < probability {
+        if self.presence_slot != Some(slot) && self.schedule.sample_presence_write() {
             self.call_at_once(now, Call::AddPresence { slot });
         } else {
             self.due = self.next_read(now);
         }
     }
 
-    /// Sets the next call after one that failed, with exponential backoff.
-    fn on_failure(&mut self, now: Millis) {
-        self.consecutive_failures += 1;
-        let factor = f64::from(self.consecutive_failures - 1).exp2();
-        self.due = if self.synchronized {
-            self.next_read(now) + (FIRST_SKIPPED_LIVES * factor).min(MAX_SKIPPED_LIVES) * REGISTER_TTL
-        } else {
-            let first = FIRST_BACKOFF.max(self.gateway_count * SPREAD_PER_GATEWAY);
-            now + (first * factor).min(MAX_BACKOFF.max(first)) * (0.5 + self.draw())
-        };
-    }
-
     /// Handles a read that was made at `made_at` and answered now, and found the time `written_at`.
     fn on_read(&mut self, made_at: Millis, now: Millis, written_at: Millis) {
         self.written_at = written_at;
-        let low = centered(written_at - now);
-        // What was written is younger than its key's life, and than a read that found the register empty.
+        let low = nearest_difference(written_at - now);
+        // The register was written within its TTL before the read, and after the last read that found it
+        // empty.
         let max_age = (now - made_at + REGISTER_TTL).min(now - self.empty_at);
-        let high = low + max_age + RESOLUTION + WRITE_DELAY;
+        let high = low + max_age + RESOLUTION + MAX_WRITE_DELAY;
         self.narrow(Bounds { low, high });
-        let age = centered(self.fleet_time(now) - written_at);
+        let age = nearest_difference(self.fleet_time(now) - written_at);
         self.due = if !self.synchronized {
             now + CONVERGING_INTERVAL
         } else if age > REGISTER_TTL / 2.0 {
-            // It expires soon, and some gateway has to write it anew.
-            now + (REGISTER_TTL - age).max(0.0) + READ_SPREAD / 4.0 * self.draw()
+            self.schedule.read_at_expiry(now, age)
         } else {
             self.next_read(now)
         };
     }
 
-    /// Handles a read that found the register empty: a gateway that knows the fleet's time writes it anew.
+    /// Handles a read that found the register empty: a gateway that knows the fleet's time writes it again.
     fn on_empty(&mut self, now: Millis) {
-        match (self.bounds, self.awaited) {
+        match (self.bounds, self.register_wait) {
             (Some(bounds), _) if !self.synchronized => {
-                let low = centered(self.written_at + REGISTER_TTL - WRITE_DELAY - now);
+                let low = nearest_difference(self.written_at + REGISTER_TTL - MAX_WRITE_DELAY - now);
                 self.narrow(Bounds { low, high: bounds.high.max(low) });
             }
             (None, None) if !self.synchronized => {
-                let first = Call::ReadPresence { key: PresenceKey::Even, other: None };
+                let first = Call::ReadPresence { key: PresenceKey::Even, other_presence: None };
                 return self.call_at_once(now, first);
             }
-            (None, Some(fleet)) if now >= fleet.until => {
-                self.use_own_time(if fleet.contradicted { ClockChange::Reset } else { ClockChange::Resumed });
+            (None, Some(wait)) if now >= wait.until => {
+                self.use_own_time(if wait.own_time_contradicted {
+                    ClockChange::Reset
+                } else {
+                    ClockChange::Resumed
+                });
             }
             _ => {}
         }
         if self.synchronized {
             self.write(now);
         } else {
-            self.due = now + self.reread_interval();
+            self.due = self.schedule.reread_empty(now);
         }
     }
 
     fn write(&mut self, now: Millis) {
-        let mark = self.mark(now);
-        self.call_at_once(now, Call::Write { mark });
+        let encoded_time = encode_time(self.fleet_time(now));
+        self.call_at_once(now, Call::Write { encoded_time });
     }
 
     /// Handles the read of one of the presence keys: once both are read it is known whether this gateway is
     /// the first of its fleet.
-    fn on_presence_read(&mut self, now: Millis, key: PresenceKey, other: Option<Presence>, shown: Presence) {
-        let Some(other) = other else {
+    fn on_presence_read(
+        &mut self, now: Millis, key: PresenceKey, other_presence: Option<Presence>, presence: Presence,
+    ) {
+        let Some(other_presence) = other_presence else {
             debug_assert_eq!(key, PresenceKey::Even);
-            let second = Call::ReadPresence { key: PresenceKey::Odd, other: Some(shown) };
+            let second = Call::ReadPresence { key: PresenceKey::Odd, other_presence: Some(presence) };
             return self.call_at_once(now, second);
         };
-        let presence = shown.or(other);
+        let presence = presence.or(other_presence);
         if presence == Presence::Absent {
             self.use_own_time(ClockChange::Initialized);
             return self.write(now);
         }
-        let contradicted = presence.contradicts(self.fleet_time(now));
-        let wait = if contradicted { RECOVERY_WAIT } else { RENEWAL_WAIT };
-        self.awaited = Some(AwaitedFleet { contradicted, until: now + wait });
-        self.due = now + self.reread_interval();
+        let own_time_contradicted = presence.contradicts(self.fleet_time(now));
+        let wait = if own_time_contradicted { RECOVERY_WAIT } else { RENEWAL_WAIT };
+        self.register_wait = Some(RegisterWait { own_time_contradicted, until: now + wait });
+        self.due = self.schedule.reread_empty(now);
     }
 
     fn use_own_time(&mut self, change: ClockChange) {
-        self.awaited = None;
+        self.register_wait = None;
         self.synchronized = true;
         self.change = Some(change);
     }
 
-    /// Returns how soon a gateway that starts reads the register again. In a large fleet many may start.
-    fn reread_interval(&mut self) -> Millis {
-        if self.gateway_count <= SMALL_FLEET {
-            return CONVERGING_INTERVAL;
-        }
-        CONVERGING_INTERVAL.max(self.gateway_count * SPREAD_PER_GATEWAY * self.draw())
-    }
-
-    /// Narrows the bounds of the true offset by new ones. Where these contradict the old ones the register is
-    /// right, as all others follow it. The offset moves no more than it has to.
+    /// Narrows the bounds of the true offset by new ones. Where these contradict the old ones the new ones
+    /// apply, as all other gateways follow the register. The offset changes no more than it has to.
     fn narrow(&mut self, new: Bounds) {
         let Bounds { low, high } = self.bounds.and_then(|known| known.intersection(new)).unwrap_or(new);
         self.reads += 1;
-        self.awaited = None;
+        self.register_wait = None;
         let was_synchronized = self.synchronized;
         let is_first = self.bounds.is_none();
-        // A mark that would be nearly as old as its key's life by this gateway's own time is rather one
-        // that has just been written, while this clock is ahead.
-        let own_time_fits =
-            is_first && (low..=(low + REGISTER_TTL).min(high) - WRITE_DELAY).contains(&self.offset);
-        let narrow = high - low <= NARROW_BOUNDS;
-        self.synchronized |= own_time_fits || narrow || self.reads >= MAX_CONVERGING_READS;
+        // If the time in the register is nearly REGISTER_TTL old by this gateway's own clock, it is more
+        // likely that it has just been written and this clock is ahead.
+        let max_own_offset = (low + REGISTER_TTL).min(high) - MAX_WRITE_DELAY;
+        let own_time_fits = is_first && (low..=max_own_offset).contains(&self.offset);
+        let is_narrow = high - low <= NARROW_WIDTH;
+        self.synchronized |= own_time_fits || is_narrow || self.reads >= MAX_CONVERGING_READS;
         self.bounds = Some(Bounds { low, high });
         let keeps_offset = was_synchronized || (low..=high).contains(&self.offset);
         self.offset = if keeps_offset { self.offset.clamp(low, high) } else { f64::midpoint(low, high) };
         let by = self.offset - self.reported_offset;
-        if self.synchronized && by.abs() >= MIN_REPORTED_MOVE {
+        if self.synchronized && by.abs() >= MIN_REPORTED_ADJUSTMENT {
             self.reported_offset = self.offset;
             self.change = Some(ClockChange::Adjusted { by });
         }
     }
 
-    /// Returns when to read again after the register was found fresh: as it expires, but only in so many of
-    /// its lives that a few gateways read in each.
     fn next_read(&mut self, now: Millis) -> Millis {
-        let probability = (READERS / self.gateway_count).min(1.0);
-        let skipped_lives =
-            if probability < 1.0 { (self.draw().ln() / (1.0 - probability).ln()).floor() } else { 0.0 };
-        let rest_of_life = REGISTER_TTL - self.fleet_time(now) % REGISTER_TTL;
-        now + rest_of_life + skipped_lives * REGISTER_TTL + READ_SPREAD * self.draw()
+        self.schedule.next_read(now, self.fleet_time(now))
     }
 
     fn fleet_time(&self, now: Millis) -> Millis {
         (now + self.offset).rem_euclid(TIME_MODULUS)
     }
-
-    fn mark(&self, now: Millis) -> f64 {
-        mark_of_time(self.fleet_time(now))
-    }
-
-    /// Draws a number in (0, 1).
-    fn draw(&mut self) -> f64 {
-        self.random.uniform().max(f64::MIN_POSITIVE)
-    }
 }
 
-/// Returns the difference between two of the fleet's times that is nearest to 0.
-fn centered(difference: Millis) -> Millis {
+/// Returns the value nearest to 0 that equals a difference of two of the fleet's times modulo
+/// [`TIME_MODULUS`].
+fn nearest_difference(difference: Millis) -> Millis {
     (difference + TIME_MODULUS / 2.0).rem_euclid(TIME_MODULUS) - TIME_MODULUS / 2.0
 }
--- a/policy/src/fleet_clock/presence.rs
+++ b/policy/src/fleet_clock/presence.rs
@@ -8,14 +8,14 @@
 //! time one of the two keys exists. Its total also tells the slot, and with it the fleet's time to within the
 //! life of the key.
 
-use super::{TIME_MODULUS, centered};
+use super::{TIME_MODULUS, nearest_difference};
 use crate::Millis;
 use crate::hash::hash;
 
 /// How long a slot lasts: the fleet's cycle holds an even number of them.
 pub(super) const SLOT_LENGTH: Millis = 40_000.0;
 /// How long a presence key is kept: the most that the counter allows.
-pub(super) const PRESENCE_LIFE: Millis = 60_000.0;
+pub(super) const PRESENCE_TTL: Millis = 60_000.0;
 /// What each gateway adds is this and the number of the slot. With up to a hundred gateways the total tells
 /// both.
 const GATEWAY_AMOUNT: f64 = 10_000.0;
@@ -88,7 +88,7 @@
     /// Returns whether the fleet's time is surely not `own_time`.
     pub(super) fn contradicts(self, own_time: Millis) -> bool {
         let Self::Present { slot: Some(slot) } = self else { return false };
-        let since_slot = centered(own_time - f64::from(slot) * SLOT_LENGTH);
-        !(-OWN_TIME_TOLERANCE..=SLOT_LENGTH + PRESENCE_LIFE).contains(&since_slot)
+        let since_slot = nearest_difference(own_time - f64::from(slot) * SLOT_LENGTH);
+        !(-OWN_TIME_TOLERANCE..=SLOT_LENGTH + PRESENCE_TTL).contains(&since_slot)
     }
 }
