--- a/gateway/tests/client_disconnect.rs
+++ b/gateway/tests/client_disconnect.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::disconnects::{
-    ABANDONED, DISCONNECT_KINDS, Disconnect, DisconnectKind, abandoned_request, end_and_wait,
+    ABANDONED_PATH, DISCONNECT_KINDS, DisconnectCase, DisconnectKind, abandoned_request, disconnect_and_wait,
 };
 use common::{
     CounterBehavior, FullBacklog, GatewayOptions, GatewayProcess, READINESS_REQUEST, ScriptedResponse,
@@ -43,7 +43,7 @@
 #[tokio::test]
 async fn socket_detects_that_its_peer_has_disconnected() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    for disconnect in Disconnect::all() {
+    for disconnect in DisconnectCase::all() {
         let address = listener.local_addr().expect("an address");
         let mut peer = TestClient::new(TcpStream::connect(address).await.expect("a connection"));
         let (stream, _) = listener.accept().await.expect("a connection");
@@ -51,7 +51,7 @@
         peer.write(&disconnect.trailing).await;
         assert!(!socket.is_closed_by_peer().await, "{}", disconnect.describe());
 
-        let _reading = disconnect.end_and_wait(peer).await;
+        let _reading = disconnect.disconnect_and_wait(peer).await;
 
         assert!(socket.is_closed_by_peer().await, "{}", disconnect.describe());
         within_timeout("the same from the event loop", socket.closed_by_peer()).await;
@@ -63,7 +63,7 @@
     let script = [ScriptedResponse::NoResponse, ScriptedResponse::ok("x")];
     let endpoint = TestEndpoint::start(&script).await;
     let env = TestEnvironment::start(&patient_options(&endpoint), CounterBehavior::Add).await;
-    for disconnect in Disconnect::all() {
+    for disconnect in DisconnectCase::all() {
         let closed = endpoint.connections_closed();
         endpoint.set_script(&script);
         let attempts = endpoint.request_count();
@@ -71,7 +71,7 @@
         disconnect.send_request(&mut client, &abandoned_request()).await;
         wait_until("the attempt", || endpoint.request_count() == attempts + 1).await;
 
-        let _reading = disconnect.end(client);
+        let _reading = disconnect.disconnect(client);
 
         wait_until("the end of the attempt's connection", || endpoint.connections_closed() > closed).await;
         assert_eq!(env.gateway.request(READINESS_REQUEST).await.status(), 200);
@@ -81,7 +81,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn request_waiting_for_quota_is_not_forwarded_after_its_client_disconnects() {
-    for disconnect in Disconnect::all() {
+    for disconnect in DisconnectCase::all() {
         let endpoint = TestEndpoint::ok("x").await;
         let env = TestEnvironment::start(&patient_options(&endpoint), CounterBehavior::AddAndHoldReply).await;
         let mut client = env.gateway.client().await;
@@ -89,10 +89,10 @@
         wait_until("the counter call", || env.counter.call_count() > 0).await;
 
         let release = async { env.counter.set_behavior(CounterBehavior::Add) };
-        let _reading = disconnect.cross(&env.gateway, client, release).await;
+        let _reading = disconnect.disconnect_while_suspended(&env.gateway, client, release).await;
 
         assert_next_request_is_served(&env).await;
-        assert_eq!(endpoint.requests_containing(ABANDONED), 0, "{}", disconnect.describe());
+        assert_eq!(endpoint.requests_containing(ABANDONED_PATH), 0, "{}", disconnect.describe());
     }
 }
 
@@ -101,7 +101,7 @@
     let endpoint = TestEndpoint::ok("x").await;
     let options = GatewayOptions::with_entries(&[]).with_long_timeouts(LONG_TIMEOUT_MS);
     let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
-    for (n, disconnect) in (0..).zip(Disconnect::all()) {
+    for (n, disconnect) in (0..).zip(DisconnectCase::all()) {
         let added_version = 2 * n + 2;
         let removed_version = added_version + 1;
         let added = delta(added_version, &[in_service("b", endpoint.address)]);
@@ -112,11 +112,11 @@
         assert_eq!(env.gateway.request(READINESS_REQUEST).await.status(), 200);
 
         let release = async { env.discovery.publish(added.clone()) };
-        let _reading = disconnect.cross(&env.gateway, client, release).await;
+        let _reading = disconnect.disconnect_while_suspended(&env.gateway, client, release).await;
         wait_until_list_known(&env, added_version, &added).await;
 
         assert_next_request_is_served(&env).await;
-        assert_eq!(endpoint.requests_containing(ABANDONED), 0, "{}", disconnect.describe());
+        assert_eq!(endpoint.requests_containing(ABANDONED_PATH), 0, "{}", disconnect.describe());
         env.discovery.publish(removed.clone());
         wait_until_list_known(&env, removed_version, &removed).await;
     }
@@ -125,7 +125,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn request_waiting_for_its_retry_is_not_forwarded_after_its_client_disconnects() {
     let rejection = "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
-    for disconnect in Disconnect::all() {
+    for disconnect in DisconnectCase::all() {
         let full = TestEndpoint::responding(ScriptedResponse::Write(rejection.into())).await;
         let other = TestEndpoint::ok("x").await;
         // An endpoint that has rejected a request is not used again for minutes.
@@ -139,12 +139,12 @@
 
         let list = delta(2, &[in_service("other", other.address)]);
         let release = async { env.discovery.publish(list.clone()) };
-        let _reading = disconnect.cross(&env.gateway, client, release).await;
+        let _reading = disconnect.disconnect_while_suspended(&env.gateway, client, release).await;
         wait_until_list_known(&env, 2, &list).await;
 
         assert_next_request_is_served(&env).await;
         assert_eq!(
-            (full.request_count(), other.requests_containing(ABANDONED)),
+            (full.request_count(), other.requests_containing(ABANDONED_PATH)),
             (1, 0),
             "{}",
             disconnect.describe()
@@ -154,7 +154,7 @@
 
 /// A client disconnects in the turn of the event loop in which the connection is established that its request
 /// waits for.
-async fn disconnect_as_the_connection_is_established(disconnect: Disconnect) {
+async fn disconnect_as_the_connection_is_established(disconnect: DisconnectCase) {
     let backlog = FullBacklog::start().await;
     let address = backlog.address;
     let options = GatewayOptions::with_endpoint(address).with_long_timeouts(LONG_TIMEOUT_MS);
@@ -170,17 +170,17 @@
     env.gateway.suspend();
     let late = backlog.accept_all();
     late.wait_until_opened(1).await;
-    let _reading = disconnect.end_and_wait(client).await;
+    let _reading = disconnect.disconnect_and_wait(client).await;
     env.gateway.resume();
 
     assert_eq!(env.gateway.request(READINESS_REQUEST).await.status(), 200);
-    late.wait_until_all_ended().await;
+    late.wait_until_all_closed().await;
     assert_eq!(late.request_lines(), Vec::<String>::new(), "{}", disconnect.describe());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn request_waiting_for_a_connection_is_not_forwarded_after_its_client_disconnects() {
-    let disconnects = Disconnect::all().into_iter();
+    let disconnects = DisconnectCase::all().into_iter();
     let runs: Vec<_> = disconnects
         .map(|disconnect| tokio::spawn(disconnect_as_the_connection_is_established(disconnect)))
         .collect();
@@ -227,7 +227,7 @@
 async fn flood(gateway: &GatewayProcess, kind: DisconnectKind) -> Option<TestClient> {
     let mut client = gateway.client().await;
     client.write(&(0..FLOOD_REQUESTS).map(|_| abandoned_request()).collect::<String>()).await;
-    end_and_wait(client, kind).await
+    disconnect_and_wait(client, kind).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -252,7 +252,7 @@
         memory_after_round.push(env.gateway.resident_memory_kib());
     }
 
-    assert_eq!((endpoint.requests_containing(ABANDONED), endpoint.request_count()), (0, 6));
+    assert_eq!((endpoint.requests_containing(ABANDONED_PATH), endpoint.request_count()), (0, 6));
     // 1.9 MB came after the first round.
     assert!(memory_after_round[4] < memory_after_round[0] + 1000, "{memory_after_round:?} KiB");
 }
@@ -280,5 +280,5 @@
 
     let count = |wanted: u16| statuses.iter().filter(|status| **status == wanted).count();
     assert_eq!(count(200), 1);
-    assert_eq!((count(429), endpoint.requests_containing(ABANDONED)), (599, 1));
+    assert_eq!((count(429), endpoint.requests_containing(ABANDONED_PATH)), (599, 1));
 }
--- a/gateway/tests/client_requests.rs
+++ b/gateway/tests/client_requests.rs
@@ -24,7 +24,7 @@
     let endpoint = TestEndpoint::responding(ScriptedResponse::Write(response.into())).await;
     let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
     let mut client = env.gateway.client().await;
-    let request = RequestBuilder::new(Class::WithKey, DEADLINE_MS)
+    let request = RequestBuilder::new(Class::WithIdempotencyKey, DEADLINE_MS)
         .header_lines("Content-Type: x/y\r\n")
         .body("the body")
         .build();
@@ -34,7 +34,7 @@
     assert_eq!((response.status(), response.body.as_slice()), (200, &b"ab\ncd"[..]));
     assert_eq!(response.headers["x-note"], "n");
     assert_eq!(response.headers["content-type"], "a/b");
-    client.expect_silence().await;
+    client.expect_idle().await;
     let forwarded = endpoint.requests();
     assert_eq!(forwarded.len(), 1);
     assert_eq!(forwarded[0].start_line, "POST /upsert/a%20b?c=d HTTP/1.1");
@@ -97,9 +97,9 @@
     invalid.extend([
         (404, good.replace("/read/a%20b?c=d", "/")),
         (400, post.replace("POST", "GET")),
-        (400, builder(Class::WithKey).build().replace("Idempotency-Key", "X-Key")),
+        (400, builder(Class::WithIdempotencyKey).build().replace("Idempotency-Key", "X-Key")),
         (400, builder(Class::NonIdempotent).header_lines("Idempotency-Key: k\r\n").build()),
-        (400, builder(Class::WithKey).header_lines("Idempotency-Key: again\r\n").build()),
+        (400, builder(Class::WithIdempotencyKey).header_lines("Idempotency-Key: again\r\n").build()),
         (400, builder(Class::Idempotent).header_lines("Req-Retry: maybe\r\n").build()),
         (400, builder(Class::Idempotent).header_lines("Content-Length: 1\r\n").body("x").build()),
         (400, "what is this\r\n\r\n".into()),
@@ -143,7 +143,7 @@
     let replaced = |old, new, body| invalid(idempotent_request(DEADLINE_MS).replace(old, new), 400, body);
     let builder = |class| RequestBuilder::new(class, DEADLINE_MS);
     let with_line = |class, line, body| invalid(builder(class).header_lines(line).build(), 400, body);
-    let without_key = builder(Class::WithKey).build().replace("Idempotency-Key", "X-Key");
+    let without_key = builder(Class::WithIdempotencyKey).build().replace("Idempotency-Key", "X-Key");
     let id = "invalid req-id, expected 1 to 64 letters, digits, '-', '_' or '.'";
     let tenant = "invalid api-customer, expected 16 hexadecimal digits of a number below 2^33";
     let terms = "invalid api-terms, expected units within the limit of a request, and gateways of the fleet";
@@ -158,7 +158,7 @@
         replaced("first=0", "first=1", terms),
         with_line(Class::Idempotent, "Req-Retry: 2\r\n", "invalid req-retry, expected 0 or 1"),
         with_line(Class::NonIdempotent, "Idempotency-Key: k\r\n", no_key),
-        with_line(Class::WithKey, "Idempotency-Key: again\r\n", two_keys),
+        with_line(Class::WithIdempotencyKey, "Idempotency-Key: again\r\n", two_keys),
         invalid(without_key, 400, "invalid idempotency-key, expected a key for this class"),
     ]
 }
@@ -227,7 +227,7 @@
 async fn unanswered_request_gets_one_504_before_its_deadline() {
     let endpoint = TestEndpoint::responding(ScriptedResponse::NoResponse).await;
     let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
-    for class in [Class::Idempotent, Class::WithKey, Class::NonIdempotent] {
+    for class in [Class::Idempotent, Class::WithIdempotencyKey, Class::NonIdempotent] {
         let attempts = endpoint.request_count();
         let closed = endpoint.connections_closed();
         let mut client = env.gateway.client().await;
@@ -235,7 +235,7 @@
         let response = client.request(&RequestBuilder::new(class, 700).build()).await;
 
         assert_eq!(response.status(), 504, "{class:?}");
-        client.expect_silence().await;
+        client.expect_idle().await;
         assert_eq!(endpoint.request_count(), attempts + 1, "{class:?}");
         wait_until("the attempt's end", || endpoint.connections_closed() == closed + 1).await;
         // An endpoint that has not responded is ejected for as long as that took.
--- a/gateway/tests/common/clients.rs
+++ b/gateway/tests/common/clients.rs
@@ -10,7 +10,7 @@
 /// Asks for the gateway's readiness.
 pub(crate) const READINESS_REQUEST: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 /// How long nothing may come after a final response.
-const SILENCE: Duration = Duration::from_millis(300);
+const IDLE_CHECK: Duration = Duration::from_millis(300);
 
 static NEXT_REQUEST_ID: AtomicU32 = AtomicU32::new(0);
 
@@ -19,7 +19,7 @@
 pub(crate) enum Class {
     Idempotent,
     /// Idempotent with an idempotency key.
-    WithKey,
+    WithIdempotencyKey,
     NonIdempotent,
 }
 
@@ -28,7 +28,7 @@
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Idempotent => "read",
-            Self::WithKey => "upsert",
+            Self::WithIdempotencyKey => "upsert",
             Self::NonIdempotent => "order",
         }
     }
@@ -63,7 +63,7 @@
         let Self { class, deadline_ms, header_lines, body } = self;
         let id = NEXT_REQUEST_ID.fetch_add(1, SeqCst);
         let method = if matches!(class, Class::Idempotent) { "GET" } else { "POST" };
-        let key = if matches!(class, Class::WithKey) {
+        let key = if matches!(class, Class::WithIdempotencyKey) {
             format!("Idempotency-Key: key-{id}\r\n")
         } else {
             String::new()
@@ -148,8 +148,8 @@
     }
 
     /// Panics if more data or the end of the connection comes within a while.
-    pub(crate) async fn expect_silence(&mut self) {
-        let more = tokio::time::timeout(SILENCE, self.stream.fill_buf()).await;
+    pub(crate) async fn expect_idle(&mut self) {
+        let more = tokio::time::timeout(IDLE_CHECK, self.stream.fill_buf()).await;
         assert!(more.is_err(), "something came after the final response");
     }
 }
--- a/gateway/tests/common/disconnects.rs
+++ b/gateway/tests/common/disconnects.rs
@@ -1,13 +1,13 @@
 //! Clients that disconnect, in all the ways there are.
 
-use super::{GatewayProcess, PeerEnd, TestClient, idempotent_request, sleep_ms, wait_for_peer_end};
+use super::{GatewayProcess, PeerClose, TestClient, idempotent_request, sleep_ms, wait_for_peer_close};
 use std::net::Shutdown;
 use std::time::Duration;
 
 /// A deadline that no request of a disconnected client reaches.
 const LONG_DEADLINE_MS: u64 = 500_000;
 /// In the path of each request whose client disconnects, and of no other.
-pub(crate) const ABANDONED: &str = "abandoned";
+pub(crate) const ABANDONED_PATH: &str = "abandoned";
 
 /// How a client ends its connection.
 #[derive(Clone, Copy, Debug)]
@@ -24,28 +24,28 @@
 
 impl DisconnectKind {
     /// How the other side's system sees the end.
-    pub(crate) fn peer_end(self) -> PeerEnd {
-        if matches!(self, Self::Reset) { PeerEnd::Reset } else { PeerEnd::Fin }
+    pub(crate) fn peer_close(self) -> PeerClose {
+        if matches!(self, Self::Reset) { PeerClose::Reset } else { PeerClose::Fin }
     }
 }
 
 /// Which of two events comes first.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Order {
+pub(crate) enum EventOrder {
     DisconnectFirst,
-    ReleaseFirst,
+    EventFirst,
 }
 
 /// How a client disconnects.
-pub(crate) struct Disconnect {
+pub(crate) struct DisconnectCase {
     pub(crate) kind: DisconnectKind,
     /// What the client has written behind its request.
     pub(crate) trailing: String,
     /// Whether it disconnects before or after what its request waits for comes.
-    pub(crate) order: Order,
+    pub(crate) order: EventOrder,
 }
 
-impl Disconnect {
+impl DisconnectCase {
     /// Each kind with each trailing text, in alternating order.
     pub(crate) fn all() -> Vec<Self> {
         let mut all = Vec::new();
@@ -53,7 +53,8 @@
             let pipelined = (0..99).map(|_| abandoned_request()).collect();
             let trailing = [String::new(), "G".into(), abandoned_request(), pipelined];
             for (m, trailing) in trailing.into_iter().enumerate() {
-                let order = if (n + m) % 2 == 0 { Order::DisconnectFirst } else { Order::ReleaseFirst };
+                let order =
+                    if (n + m) % 2 == 0 { EventOrder::DisconnectFirst } else { EventOrder::EventFirst };
                 all.push(Self { kind, trailing, order });
             }
         }
@@ -66,13 +67,13 @@
     }
 
     /// Ends a client's connection; one that continues to read is handed back.
-    pub(crate) fn end(&self, client: TestClient) -> Option<TestClient> {
-        end(client, self.kind)
+    pub(crate) fn disconnect(&self, client: TestClient) -> Option<TestClient> {
+        disconnect(client, self.kind)
     }
 
     /// The same, and waits until the other side's system knows.
-    pub(crate) async fn end_and_wait(&self, client: TestClient) -> Option<TestClient> {
-        end_and_wait(client, self.kind).await
+    pub(crate) async fn disconnect_and_wait(&self, client: TestClient) -> Option<TestClient> {
+        disconnect_and_wait(client, self.kind).await
     }
 
     /// Writes a request and the trailing text.
@@ -82,19 +83,19 @@
 
     /// While the gateway is suspended the client disconnects and what its request waits for comes: the
     /// gateway finds both in one turn of its event loop.
-    pub(crate) async fn cross(
-        &self, gateway: &GatewayProcess, client: TestClient, release: impl Future,
+    pub(crate) async fn disconnect_while_suspended(
+        &self, gateway: &GatewayProcess, client: TestClient, event: impl Future,
     ) -> Option<TestClient> {
         gateway.suspend();
         let client = match self.order {
-            Order::DisconnectFirst => {
-                let client = self.end_and_wait(client).await;
-                release.await;
+            EventOrder::DisconnectFirst => {
+                let client = self.disconnect_and_wait(client).await;
+                event.await;
                 client
             }
-            Order::ReleaseFirst => {
-                release.await;
-                self.end_and_wait(client).await
+            EventOrder::EventFirst => {
+                event.await;
+                self.disconnect_and_wait(client).await
             }
         };
         // What was written to the gateway has reached its system by then.
@@ -104,13 +105,13 @@
     }
 }
 
-/// An idempotent request whose path contains [`ABANDONED`].
+/// An idempotent request whose path contains [`ABANDONED_PATH`].
 pub(crate) fn abandoned_request() -> String {
-    idempotent_request(LONG_DEADLINE_MS).replace("/a%20b", &format!("/{ABANDONED}"))
+    idempotent_request(LONG_DEADLINE_MS).replace("/a%20b", &format!("/{ABANDONED_PATH}"))
 }
 
 /// Ends a client's connection; one that continues to read is handed back.
-fn end(client: TestClient, kind: DisconnectKind) -> Option<TestClient> {
+fn disconnect(client: TestClient, kind: DisconnectKind) -> Option<TestClient> {
     let socket = socket2::SockRef::from(client.stream.get_ref());
     match kind {
         DisconnectKind::Close => {}
@@ -121,11 +122,11 @@
 }
 
 /// The same, and waits until the other side's system knows.
-pub(crate) async fn end_and_wait(client: TestClient, kind: DisconnectKind) -> Option<TestClient> {
+pub(crate) async fn disconnect_and_wait(client: TestClient, kind: DisconnectKind) -> Option<TestClient> {
     let stream = client.stream.get_ref();
     let local = stream.local_addr().expect("an address");
     let peer = stream.peer_addr().expect("an address");
-    let client = end(client, kind);
-    wait_for_peer_end(peer, local, kind.peer_end()).await;
+    let client = disconnect(client, kind);
+    wait_for_peer_close(peer, local, kind.peer_close()).await;
     client
 }
--- a/gateway/tests/common/endpoints.rs
+++ b/gateway/tests/common/endpoints.rs
@@ -13,7 +13,7 @@
 
 /// A part of a response.
 #[derive(Clone, Debug)]
-pub(crate) struct Piece {
+pub(crate) struct ResponsePart {
     /// How long the endpoint waits before it writes the text.
     pub(crate) delay_ms: u64,
     pub(crate) text: &'static str,
@@ -34,7 +34,7 @@
         delay_ms: u64,
         second: String,
     },
-    WriteInPieces(Vec<Piece>),
+    WriteInParts(Vec<ResponsePart>),
     /// Writes the text over and over for as long as the connection is open.
     WriteRepeatedly(String),
     NoResponse,
@@ -177,8 +177,8 @@
             sleep_ms(delay_ms).await;
             write(stream, &second).await;
         }
-        ScriptedResponse::WriteInPieces(pieces) => {
-            for Piece { delay_ms, text } in pieces {
+        ScriptedResponse::WriteInParts(parts) => {
+            for ResponsePart { delay_ms, text } in parts {
                 sleep_ms(delay_ms).await;
                 write(stream, text).await;
             }
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -144,7 +144,7 @@
     log: Arc<Mutex<Vec<String>>>,
     log_reader: tokio::task::JoinHandle<()>,
     /// Whether the log is no longer read, though its reading end is open.
-    log_unread: Arc<AtomicBool>,
+    log_reading_paused: Arc<AtomicBool>,
 }
 
 impl GatewayProcess {
@@ -162,17 +162,17 @@
         let address = first.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address");
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
         let recorded = log.clone();
-        let log_unread = Arc::<AtomicBool>::default();
-        let unread = log_unread.clone();
+        let log_reading_paused = Arc::<AtomicBool>::default();
+        let paused = log_reading_paused.clone();
         let log_reader = tokio::spawn(async move {
             while let Ok(Some(line)) = lines.next_line().await {
                 recorded.lock().expect("lock").push(line);
-                if unread.load(SeqCst) {
+                if paused.load(SeqCst) {
                     std::future::pending().await
                 }
             }
         });
-        Self { address, child, config_file, config_text, log, log_reader, log_unread }
+        Self { address, child, config_file, config_text, log, log_reader, log_reading_paused }
     }
 
     /// A client with a new connection.
@@ -197,7 +197,7 @@
 
     /// Stops reading the log, after the next line, without closing its reading end.
     pub(crate) fn stop_reading_log(&self) {
-        self.log_unread.store(true, SeqCst);
+        self.log_reading_paused.store(true, SeqCst);
     }
 
     /// Closes the reading end of the log, so that the gateway's writes to it fail from now on.
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -20,10 +20,10 @@
 };
 pub(crate) use counter::{CounterBehavior, TestCounter};
 pub(crate) use discovery::{TestDiscovery, delta, in_service, snapshot, terminated, terminating};
-pub(crate) use endpoints::{Piece, ScriptedResponse, TestEndpoint};
+pub(crate) use endpoints::{ResponsePart, ScriptedResponse, TestEndpoint};
 pub(crate) use gateway::{ConfigEdit, GatewayOptions, GatewayProcess, TestEnvironment};
 pub(crate) use http::{HttpMessage, ok_response, read_message};
 pub(crate) use sockets::{
-    FullBacklog, LateConnections, PeerEnd, RefusingPort, wait_for_connection_attempt, wait_for_peer_end,
+    FullBacklog, LateConnections, PeerClose, RefusingPort, wait_for_connection_attempt, wait_for_peer_close,
 };
 pub(crate) use wait::{TIMEOUT, sleep_ms, wait_until, within_timeout};
--- a/gateway/tests/common/sockets.rs
+++ b/gateway/tests/common/sockets.rs
@@ -9,9 +9,9 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 /// How many checks in a row have to miss a connection before it counts as ended.
-const CHECKS_TO_END: u32 = 10;
+const MISSES_UNTIL_CLOSED: u32 = 10;
 /// How long a connection attempt may take before the backlog counts as full.
-const BACKLOG_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+const BACKLOG_FULL_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The state of a connection in `/proc/net/tcp`.
 #[derive(Clone, Copy)]
@@ -45,7 +45,7 @@
 
 /// How a peer ends its side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum PeerEnd {
+pub(crate) enum PeerClose {
     /// With a FIN, after which the connection is in `CLOSE_WAIT`.
     Fin,
     /// With a RST, which leaves no trace.
@@ -55,15 +55,15 @@
 /// Waits until the end of a connection has reached the socket at `local`, whose peer is `peer`: on a busy
 /// machine that takes a while, also over loopback. A reset shows only as a connection that is missing check
 /// after check.
-pub(crate) async fn wait_for_peer_end(local: SocketAddr, peer: SocketAddr, end: PeerEnd) {
+pub(crate) async fn wait_for_peer_close(local: SocketAddr, peer: SocketAddr, close: PeerClose) {
     let missing = AtomicU32::new(0);
     wait_until("the end of the connection", || {
         if has_connection(TcpState::Established, Some(local.port()), peer.port()) {
             missing.store(0, SeqCst);
         }
         let is_half_closed =
-            end == PeerEnd::Fin && has_connection(TcpState::CloseWait, Some(local.port()), peer.port());
-        is_half_closed || missing.fetch_add(1, SeqCst) == CHECKS_TO_END
+            close == PeerClose::Fin && has_connection(TcpState::CloseWait, Some(local.port()), peer.port());
+        is_half_closed || missing.fetch_add(1, SeqCst) == MISSES_UNTIL_CLOSED
     })
     .await;
 }
@@ -109,7 +109,7 @@
         let listener = socket.listen(1).expect("listening");
         let address = listener.local_addr().expect("an address");
         let mut waiting = Vec::new();
-        let connect = || tokio::time::timeout(BACKLOG_CONNECT_TIMEOUT, TcpStream::connect(address));
+        let connect = || tokio::time::timeout(BACKLOG_FULL_TIMEOUT, TcpStream::connect(address));
         while let Ok(Ok(stream)) = connect().await {
             waiting.push(stream);
         }
@@ -130,7 +130,7 @@
 struct LateState {
     request_lines: Mutex<Vec<String>>,
     opened: AtomicUsize,
-    ended: AtomicUsize,
+    closed: AtomicUsize,
 }
 
 /// Connections that were established once a full backlog was freed, without those that had filled it.
@@ -145,9 +145,9 @@
     }
 
     /// Waits until all that were established have been closed by the peer.
-    pub(crate) async fn wait_until_all_ended(&self) {
-        let all_ended = || self.state.opened.load(SeqCst) == self.state.ended.load(SeqCst);
-        wait_until("the end of the late connections", all_ended).await;
+    pub(crate) async fn wait_until_all_closed(&self) {
+        let all_closed = || self.state.opened.load(SeqCst) == self.state.closed.load(SeqCst);
+        wait_until("the end of the late connections", all_closed).await;
     }
 
     /// The request lines of all requests that came.
@@ -173,6 +173,6 @@
             self.request_lines.lock().expect("lock").push(request.start_line);
             let _ = stream.write_all(ok_response("late").as_bytes()).await;
         }
-        self.ended.fetch_add(1, SeqCst);
+        self.closed.fetch_add(1, SeqCst);
     }
 }
--- a/gateway/tests/endpoint_connections.rs
+++ b/gateway/tests/endpoint_connections.rs
@@ -125,7 +125,7 @@
         let late = backlog.accept_all();
 
         assert_eq!(client.read_response().await.body, b"other");
-        late.wait_until_all_ended().await;
+        late.wait_until_all_closed().await;
         assert_eq!(late.request_lines(), Vec::<String>::new());
     }
     assert_eq!(other.request_count(), 4);
@@ -151,7 +151,7 @@
     env.gateway.resume();
 
     assert_ne!(client.read_response().await.status(), 200);
-    late.wait_until_all_ended().await;
+    late.wait_until_all_closed().await;
     assert_eq!(late.request_lines(), Vec::<String>::new());
 }
 
@@ -175,7 +175,7 @@
     let late = backlog.accept_all();
     drop(TcpStream::connect(address).await.expect("a connection"));
     late.wait_until_opened(1).await;
-    late.wait_until_all_ended().await;
+    late.wait_until_all_closed().await;
 
     assert_eq!((late.request_lines(), other.request_count()), (Vec::new(), 1));
 }
--- a/gateway/tests/endpoint_responses.rs
+++ b/gateway/tests/endpoint_responses.rs
@@ -27,7 +27,7 @@
             assert_eq!(response.body, b"good", "{extra}");
         }
 
-        client.expect_silence().await;
+        client.expect_idle().await;
         assert_eq!((endpoint.request_count(), endpoint.connections_opened()), (2, 2), "{extra}");
     }
 }
@@ -112,7 +112,7 @@
         let response = client.request(&non_idempotent_request(DEADLINE_MS)).await;
 
         assert_eq!(response.status(), status);
-        client.expect_silence().await;
+        client.expect_idle().await;
         wait_until("the end of that connection", || endpoint.connections_closed() == 1).await;
         assert_eq!(endpoint.request_count(), 1);
     }
@@ -152,7 +152,7 @@
     // The idempotent request is retried where the response was incomplete.
     let body: &[u8] = if is_complete { b"whole" } else { b"again" };
     assert_eq!(second.body, body, "{text}, {end:?}");
-    client.expect_silence().await;
+    client.expect_idle().await;
     let attempts = if is_complete { 2 } else { 3 };
     assert_eq!(endpoint.request_count(), attempts, "{text}, {end:?}");
 }
--- a/gateway/tests/graceful_shutdown/load.rs
+++ b/gateway/tests/graceful_shutdown/load.rs
@@ -129,7 +129,11 @@
                     Err(_) => return,
                 },
             };
-            let classes = [(Class::Idempotent, ""), (Class::WithKey, "body"), (Class::NonIdempotent, "body")];
+            let classes = [
+                (Class::Idempotent, ""),
+                (Class::WithIdempotencyKey, "body"),
+                (Class::NonIdempotent, "body"),
+            ];
             let (class, body) = classes[random.usize(0..3)];
             let outcome = self.send(&mut client, connection, &self.request(class, body)).await;
             // A request that crossed a close comes again on a new connection, as a request of its own.
--- a/gateway/tests/reconfiguration.rs
+++ b/gateway/tests/reconfiguration.rs
@@ -52,7 +52,7 @@
 
     // The request in flight all the while gets its one response.
     assert_eq!(early.read_response().await.body, b"old");
-    early.expect_silence().await;
+    early.expect_idle().await;
     assert_eq!((old.request_count(), new.request_count()), (1, 3));
 }
 
--- a/gateway/tests/retry.rs
+++ b/gateway/tests/retry.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use common::{
-    CounterBehavior, GatewayOptions, Piece, RefusingPort, ScriptedResponse, TIMEOUT, TestEndpoint,
+    CounterBehavior, GatewayOptions, RefusingPort, ResponsePart, ScriptedResponse, TIMEOUT, TestEndpoint,
     TestEnvironment, idempotent_request, in_service, non_idempotent_request, ok_response, read_message,
     sleep_ms, within_timeout,
 };
@@ -62,7 +62,7 @@
         let reply = client.request(&non_idempotent_request(DEADLINE_MS)).await;
 
         assert_eq!(reply.status(), 502, "{response:?}");
-        client.expect_silence().await;
+        client.expect_idle().await;
         assert_eq!(a.request_count() + b.request_count(), 1, "{response:?}");
     }
 }
@@ -83,7 +83,7 @@
 
         assert_eq!(reply.status(), 429, "{response:?}");
         assert!(reply.headers.contains_key("retry-after"));
-        client.expect_silence().await;
+        client.expect_idle().await;
         assert_eq!(a.request_count() + b.request_count(), 2, "{response:?}");
     }
 }
@@ -204,7 +204,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn informational_response_in_pieces_is_followed_by_the_final_response_of_the_same_attempt() {
-    let piece = |delay_ms, text| Piece { delay_ms, text };
+    let piece = |delay_ms, text| ResponsePart { delay_ms, text };
     let final_response = piece(600, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
     let responses = [
         vec![
@@ -221,7 +221,7 @@
         vec![piece(0, "HTTP/1.1 102 Processing\r\n\r\n"), final_response],
     ];
     for pieces in responses {
-        let endpoint = TestEndpoint::responding(ScriptedResponse::WriteInPieces(pieces.clone())).await;
+        let endpoint = TestEndpoint::responding(ScriptedResponse::WriteInParts(pieces.clone())).await;
         let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
 
         let reply = env.gateway.request(&non_idempotent_request(20_000)).await;
--- a/gateway/tests/system_call_failures.rs
+++ b/gateway/tests/system_call_failures.rs
@@ -51,7 +51,8 @@
             None => TestClient::connect(gateway).await,
         };
         let (class, body) =
-            [(Class::Idempotent, ""), (Class::WithKey, "body"), (Class::NonIdempotent, "body")][number % 3];
+            [(Class::Idempotent, ""), (Class::WithIdempotencyKey, "body"), (Class::NonIdempotent, "body")]
+                [number % 3];
         let request = RequestBuilder::new(class, DEADLINE_MS).body(body).build();
         match client.try_request(&request).await {
             Some(response) => {
