--- a/gateway/tests/common/clients.rs
+++ b/gateway/tests/common/clients.rs
@@ -1,4 +1,4 @@
-//! HTTP clients of the gateway and the requests they send.
+//! Builds requests and sends them to the gateway over client connections.
 
 use super::{HttpMessage, read_message, within_timeout};
 use std::net::SocketAddr;
@@ -7,9 +7,9 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// Asks for the gateway's readiness.
+/// A readiness check.
 pub(crate) const READINESS_REQUEST: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
-/// How long nothing may come after a final response.
+/// How long [`TestClient::expect_idle`] watches a connection.
 const IDLE_CHECK: Duration = Duration::from_millis(300);
 
 static NEXT_REQUEST_ID: AtomicU32 = AtomicU32::new(0);
@@ -18,13 +18,13 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Class {
     Idempotent,
-    /// Idempotent with an idempotency key.
+    /// Idempotent because the service deduplicates requests by their idempotency key.
     WithIdempotencyKey,
     NonIdempotent,
 }
 
 impl Class {
-    /// The class's name in the configuration and in paths.
+    /// The name of the class in the configuration and in request paths.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Idempotent => "read",
@@ -34,7 +34,7 @@
     }
 }
 
-/// Builds a well-formed request with an id of its own.
+/// Builds well-formed requests, each with a unique id.
 pub(crate) struct RequestBuilder<'a> {
     class: Class,
     deadline_ms: u64,
@@ -43,22 +43,21 @@
 }
 
 impl<'a> RequestBuilder<'a> {
-    /// A request without a body and with the usual headers.
+    /// A request with an empty body and no additional header lines.
     pub(crate) fn new(class: Class, deadline_ms: u64) -> Self {
         Self { class, deadline_ms, header_lines: "", body: "" }
     }
 
-    /// Adds header lines, each with its line end.
+    /// Sets additional header lines, each terminated by CRLF.
     pub(crate) fn header_lines(self, header_lines: &'a str) -> Self {
         Self { header_lines, ..self }
     }
 
-    /// Sets the body.
     pub(crate) fn body(self, body: &'a str) -> Self {
         Self { body, ..self }
     }
 
-    /// The text of the request; a new id each time.
+    /// Formats the request; each call assigns a new id.
     pub(crate) fn build(&self) -> String {
         let Self { class, deadline_ms, header_lines, body } = self;
         let id = NEXT_REQUEST_ID.fetch_add(1, SeqCst);
@@ -79,7 +78,6 @@
     }
 }
 
-/// An idempotent request.
 pub(crate) fn idempotent_request(deadline_ms: u64) -> String {
     RequestBuilder::new(Class::Idempotent, deadline_ms).build()
 }
@@ -89,31 +87,29 @@
     RequestBuilder::new(Class::NonIdempotent, deadline_ms).body("b").build()
 }
 
-/// A client with one connection.
+/// An HTTP client with a single connection.
 pub(crate) struct TestClient {
     pub(crate) stream: BufReader<TcpStream>,
 }
 
 impl TestClient {
-    /// A client on a new connection.
     pub(crate) async fn connect(address: SocketAddr) -> Self {
-        Self::new(TcpStream::connect(address).await.expect("a connection"))
+        Self::new(TcpStream::connect(address).await.expect("failed to connect"))
     }
 
-    /// A client on an established connection.
+    /// Wraps an established connection.
     pub(crate) fn new(stream: TcpStream) -> Self {
         Self { stream: BufReader::new(stream) }
     }
 
-    /// Writes a text to the connection.
     pub(crate) async fn write(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).await.expect("written");
+        self.stream.write_all(text.as_bytes()).await.expect("failed to write to the connection");
     }
 
-    /// Reads a response; panics if the connection ends without one.
+    /// Reads a response; panics if the connection closes first.
     pub(crate) async fn read_response(&mut self) -> HttpMessage {
         let response = within_timeout("a response", read_message(&mut self.stream)).await;
-        response.expect("a response, not the end of the connection")
+        response.expect("connection closed before a response")
     }
 
     /// Sends a request and reads its response.
@@ -122,34 +118,37 @@
         self.read_response().await
     }
 
-    /// Sends a request on a connection that the gateway may close; `None` where it ends without a response.
+    /// Sends a request on a connection that the gateway may have closed. Returns `None` if the connection
+    /// closes before a response.
     pub(crate) async fn try_request(&mut self, text: &str) -> Option<HttpMessage> {
         self.stream.write_all(text.as_bytes()).await.ok()?;
-        self.read_response_or_end().await
+        self.read_response_or_close().await
     }
 
-    /// Reads a response; `None` where the connection ends without one.
-    pub(crate) async fn read_response_or_end(&mut self) -> Option<HttpMessage> {
-        within_timeout("a response or the end", read_message(&mut self.stream)).await
+    /// Reads a response. Returns `None` if the connection closes first.
+    pub(crate) async fn read_response_or_close(&mut self) -> Option<HttpMessage> {
+        within_timeout("a response or the close of the connection", read_message(&mut self.stream)).await
     }
 
-    /// Waits until the gateway closes or resets this connection; panics if more data comes before.
+    /// Waits until the gateway closes or resets the connection; panics if it sends data first.
     pub(crate) async fn expect_close(&mut self) {
         let mut rest = Vec::new();
-        let _ = within_timeout("the close", self.stream.read_to_end(&mut rest)).await;
+        let _ = within_timeout("the close of the connection", self.stream.read_to_end(&mut rest)).await;
         assert_eq!(String::from_utf8_lossy(&rest), "");
     }
 
-    /// Waits until the gateway closes this connection; panics if it resets it or if more data comes before.
+    /// Waits until the gateway closes the connection; panics if it resets the connection or sends data first.
     pub(crate) async fn expect_clean_close(&mut self) {
         let mut rest = Vec::new();
-        within_timeout("the close", self.stream.read_to_end(&mut rest)).await.expect("a clean end");
+        within_timeout("the close of the connection", self.stream.read_to_end(&mut rest))
+            .await
+            .expect("connection was reset");
         assert_eq!(rest, b"");
     }
 
-    /// Panics if more data or the end of the connection comes within a while.
+    /// Checks for [`IDLE_CHECK`] that the gateway neither sends data on the connection nor closes it.
     pub(crate) async fn expect_idle(&mut self) {
-        let more = tokio::time::timeout(IDLE_CHECK, self.stream.fill_buf()).await;
-        assert!(more.is_err(), "something came after the final response");
+        let event = tokio::time::timeout(IDLE_CHECK, self.stream.fill_buf()).await;
+        assert!(event.is_err(), "data or a close followed the final response");
     }
 }
--- a/gateway/tests/common/counter.rs
+++ b/gateway/tests/common/counter.rs
@@ -1,4 +1,4 @@
-//! A shared counter that adds amounts and fails as a test wants it to.
+//! A fake of the shared counter, which can be made to fail or to delay its replies.
 
 use super::{sleep_ms, wait_until};
 use std::collections::HashMap;
@@ -9,19 +9,19 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The counter removes a key after this time at the latest.
+/// The longest time to live of a key; longer ones are capped.
 const MAX_TIME_TO_LIVE_MS: u64 = 60_000;
 
-/// How the counter handles a call.
+/// How the counter handles `ADDGET` calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum CounterBehavior {
     Add,
     AddAndReplyAfter {
         delay_ms: u64,
     },
-    /// Adds, and replies once the behavior has been changed.
+    /// Adds the amount, and replies once the behavior has been changed.
     AddAndHoldReply,
-    /// Adds, and replies with this text in place of the total.
+    /// Adds the amount, and replies with this text instead of the total.
     AddAndReplyWith(&'static str),
     ReplyBusy,
     ReplyMalformed,
@@ -34,30 +34,29 @@
 }
 
 struct State {
-    /// When the counter started, if its calls are printed: `COUNTER_LOG` is set.
-    logged_since: Option<Instant>,
+    /// The start time of the counter if `COUNTER_LOG` is set, in which case each call is logged.
+    log_start: Option<Instant>,
     entries: Mutex<HashMap<String, Entry>>,
     call_count: AtomicU32,
     behavior: Mutex<CounterBehavior>,
 }
 
-/// A counter that records all calls.
+/// A counter server that counts the calls it receives.
 pub(crate) struct TestCounter {
     pub(crate) address: SocketAddr,
     state: Arc<State>,
 }
 
 impl TestCounter {
-    /// Starts a counter on a port that the system chooses.
+    /// Starts a counter on an ephemeral port.
     pub(crate) async fn start(behavior: CounterBehavior) -> Self {
-        Self::serve(TcpListener::bind("127.0.0.1:0").await.expect("a port"), behavior)
+        Self::serve(TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a loopback port"), behavior)
     }
 
-    /// Starts a counter on a listener.
     pub(crate) fn serve(listener: TcpListener, behavior: CounterBehavior) -> Self {
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("listener has no address");
         let state = Arc::new(State {
-            logged_since: std::env::var_os("COUNTER_LOG").map(|_| Instant::now()),
+            log_start: std::env::var_os("COUNTER_LOG").map(|_| Instant::now()),
             entries: Mutex::default(),
             call_count: AtomicU32::new(0),
             behavior: Mutex::new(behavior),
@@ -66,22 +65,22 @@
         Self { address, state }
     }
 
-    /// Changes how further calls are handled.
+    /// Changes the handling of subsequent calls.
     pub(crate) fn set_behavior(&self, behavior: CounterBehavior) {
-        *self.state.behavior.lock().expect("lock") = behavior;
+        *self.state.behavior.lock().expect("lock poisoned") = behavior;
     }
 
-    /// How many calls have come so far.
+    /// The number of `ADDGET` calls received so far.
     pub(crate) fn call_count(&self) -> u32 {
         self.state.call_count.load(SeqCst)
     }
 
-    /// The totals of all keys, in any order.
+    /// The totals of all keys, in no particular order.
     pub(crate) fn totals(&self) -> Vec<f64> {
-        self.state.entries.lock().expect("lock").values().map(|entry| entry.total).collect()
+        self.state.entries.lock().expect("lock poisoned").values().map(|entry| entry.total).collect()
     }
 
-    /// The sum over all keys.
+    /// The sum of the totals of all keys.
     pub(crate) fn sum(&self) -> f64 {
         self.totals().iter().sum()
     }
@@ -104,7 +103,7 @@
                 continue;
             }
             let reply = self.handle_call(&command).await;
-            if let Some(since) = self.logged_since {
+            if let Some(since) = self.log_start {
                 let at = since.elapsed().as_millis();
                 eprintln!("counter {server} at {at} ms, connection {client}: {command:?} {reply:?}");
             }
@@ -114,7 +113,7 @@
         }
     }
 
-    /// The reply to a call, once it is due.
+    /// Handles one `ADDGET` call and returns the reply, after its delay.
     async fn handle_call(&self, command: &[String]) -> Option<String> {
         assert_eq!((command[0].as_str(), command.len()), ("ADDGET", 4));
         self.call_count.fetch_add(1, SeqCst);
@@ -128,7 +127,10 @@
             }
             CounterBehavior::AddAndHoldReply => {
                 let reply = self.add(command);
-                wait_until("another behavior", || self.behavior() != CounterBehavior::AddAndHoldReply).await;
+                wait_until("a change of the behavior", || {
+                    self.behavior() != CounterBehavior::AddAndHoldReply
+                })
+                .await;
                 Some(reply)
             }
             CounterBehavior::AddAndReplyWith(text) => {
@@ -142,32 +144,33 @@
     }
 
     fn behavior(&self) -> CounterBehavior {
-        *self.behavior.lock().expect("lock")
+        *self.behavior.lock().expect("lock poisoned")
     }
 
     /// Performs `ADDGET key amount time-to-live`; returns the reply with the new total.
     fn add(&self, command: &[String]) -> String {
-        let amount: f64 = command[2].parse().expect("an amount");
-        let time_to_live_ms: u64 = command[3].parse().expect("a time to live in whole milliseconds");
+        let amount: f64 = command[2].parse().expect("amount is not a number");
+        let time_to_live_ms: u64 =
+            command[3].parse().expect("time to live is not a whole number of milliseconds");
         assert!(time_to_live_ms >= 1);
-        let mut entries = self.entries.lock().expect("lock");
+        let mut entries = self.entries.lock().expect("lock poisoned");
         let now = Instant::now();
         if entries.get(&command[1]).is_none_or(|entry| entry.expires_at <= now) {
-            // A key that is only read holds nothing.
+            // A read of a missing key does not create it.
             if amount == 0.0 {
                 return "$1\r\n0\r\n".into();
             }
             let time_to_live = Duration::from_millis(time_to_live_ms.min(MAX_TIME_TO_LIVE_MS));
             entries.insert(command[1].clone(), Entry { total: 0.0, expires_at: now + time_to_live });
         }
-        let entry = entries.get_mut(&command[1]).expect("an entry");
+        let entry = entries.get_mut(&command[1]).expect("entry was just inserted");
         entry.total += amount;
         let text = entry.total.to_string();
         format!("${}\r\n{text}\r\n", text.len())
     }
 }
 
-/// Reads one command of RESP2: an array of bulk strings.
+/// Reads one RESP2 command, which is an array of bulk strings.
 async fn read_command(stream: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
     let mut line = String::new();
     stream.read_line(&mut line).await.ok()?;
--- a/gateway/tests/common/discovery.rs
+++ b/gateway/tests/common/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service that publishes the endpoint lists a test gives it.
+//! A fake of the discovery service: the test chooses which endpoint lists it publishes, and when.
 
 use super::{ok_response, read_message, wait_until};
 use std::net::SocketAddr;
@@ -8,17 +8,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// The entry of an endpoint that may be used.
+/// The list entry of an endpoint that accepts requests.
 pub(crate) fn in_service(name: &str, address: SocketAddr) -> String {
     entry(name, address, "in_service")
 }
 
-/// The entry of an endpoint that is draining.
+/// The list entry of an endpoint that is draining.
 pub(crate) fn terminating(name: &str, address: SocketAddr) -> String {
     entry(name, address, "terminating")
 }
 
-/// The entry of an endpoint that no longer exists.
+/// The list entry of an endpoint that no longer exists.
 pub(crate) fn terminated(name: &str, address: SocketAddr) -> String {
     entry(name, address, "terminated")
 }
@@ -32,7 +32,7 @@
     format!(r#"{{"seq":{version},"whole":true,"hosts":[{}]}}"#, entries.join(","))
 }
 
-/// The entries of an endpoint list that have changed.
+/// The changed entries of an endpoint list.
 pub(crate) fn delta(version: u64, entries: &[String]) -> String {
     format!(r#"{{"seq":{version},"whole":false,"hosts":[{}]}}"#, entries.join(","))
 }
@@ -40,17 +40,18 @@
 #[derive(Default)]
 struct State {
     request_count: AtomicU32,
-    /// Requests since a list was last sent.
+    /// The number of requests since a list was last sent.
     requests_since_list: AtomicU32,
-    /// Whether the published list has yet to be sent.
+    /// Whether the published list has not been sent yet.
     list_pending: AtomicBool,
     last_request_line: Mutex<String>,
 }
 
-/// The published list, as each of the connections waits for its change.
+/// The published list. The mutex makes the connections wait for the next list one at a time.
 type PublishedList = Arc<tokio::sync::Mutex<watch::Receiver<Option<String>>>>;
 
-/// A discovery service that leaves each request open until a list is published, and sends a list once.
+/// A discovery service with long polling: a request is answered when a list is published, and each list is
+/// sent once.
 pub(crate) struct TestDiscovery {
     pub(crate) address: SocketAddr,
     publisher: watch::Sender<Option<String>>,
@@ -58,14 +59,13 @@
 }
 
 impl TestDiscovery {
-    /// Starts a discovery service on a port that the system chooses.
+    /// Starts a discovery service on an ephemeral port.
     pub(crate) async fn start() -> Self {
-        Self::serve(TcpListener::bind("127.0.0.1:0").await.expect("a port"))
+        Self::serve(TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a loopback port"))
     }
 
-    /// Starts a discovery service on a listener.
     pub(crate) fn serve(listener: TcpListener) -> Self {
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("listener has no address");
         let (publisher, published) = watch::channel(None::<String>);
         let published = Arc::new(tokio::sync::Mutex::new(published));
         let state = Arc::<State>::default();
@@ -73,28 +73,27 @@
         Self { address, publisher, state }
     }
 
-    /// Sends this text as the response to the open request, or to the next.
+    /// Responds with this text to the pending request, or to the next one if none is pending.
     pub(crate) fn publish(&self, text: String) {
         self.state.list_pending.store(true, SeqCst);
         self.publisher.send_replace(Some(text));
     }
 
-    /// Waits until the gateway has processed what was published: it has been sent, and the next request has
-    /// come.
+    /// Waits until the gateway has processed the published list: the list has been sent, and the gateway has
+    /// sent its next request.
     pub(crate) async fn wait_until_processed(&self) {
         let is_processed =
             || !self.state.list_pending.load(SeqCst) && self.state.requests_since_list.load(SeqCst) > 0;
-        wait_until("the next request at discovery", is_processed).await;
+        wait_until("the next request to discovery", is_processed).await;
     }
 
-    /// How many requests have come so far.
+    /// The number of requests received so far.
     pub(crate) fn request_count(&self) -> u32 {
         self.state.request_count.load(SeqCst)
     }
 
-    /// The request line of the last request.
     pub(crate) fn last_request_line(&self) -> String {
-        self.state.last_request_line.lock().expect("lock").clone()
+        self.state.last_request_line.lock().expect("lock poisoned").clone()
     }
 }
 
@@ -108,13 +107,13 @@
     async fn serve_connection(self: Arc<Self>, stream: TcpStream, published: PublishedList) {
         let mut stream = BufReader::new(stream);
         while let Some(request) = read_message(&mut stream).await {
-            *self.last_request_line.lock().expect("lock") = request.start_line;
+            *self.last_request_line.lock().expect("lock poisoned") = request.start_line;
             self.request_count.fetch_add(1, SeqCst);
             self.requests_since_list.fetch_add(1, SeqCst);
             let mut published = published.lock().await;
             tokio::select! {
                 changed = published.changed() => if changed.is_err() { return },
-                // The gateway has given this request up: the next one gets the list.
+                // The gateway abandoned this request, so the list is left for the next one.
                 _ = stream.fill_buf() => return,
             }
             let text = published.borrow_and_update().clone().unwrap_or_default();
--- a/gateway/tests/common/endpoints.rs
+++ b/gateway/tests/common/endpoints.rs
@@ -1,4 +1,4 @@
-//! An endpoint that records requests and sends scripted responses.
+//! A fake endpoint that records requests and sends scripted responses.
 
 use super::{HttpMessage, read_message, sleep_ms};
 use std::net::SocketAddr;
@@ -8,18 +8,18 @@
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-/// How often [`ScriptedResponse::WriteRepeatedly`] writes, in milliseconds.
+/// The interval between two writes of [`ScriptedResponse::WriteRepeatedly`].
 const REPEAT_INTERVAL_MS: u64 = 10;
 
-/// A part of a response.
+/// A part of a response, written after a delay.
 #[derive(Clone, Debug)]
 pub(crate) struct ResponsePart {
-    /// How long the endpoint waits before it writes the text.
+    /// The delay before the text is written.
     pub(crate) delay_ms: u64,
     pub(crate) text: &'static str,
 }
 
-/// What an endpoint does with one request.
+/// How an endpoint responds to one request.
 #[derive(Clone, Debug)]
 pub(crate) enum ScriptedResponse {
     Write(String),
@@ -35,18 +35,18 @@
         second: String,
     },
     WriteInParts(Vec<ResponsePart>),
-    /// Writes the text over and over for as long as the connection is open.
+    /// Writes the text repeatedly until the connection closes.
     WriteRepeatedly(String),
     NoResponse,
 }
 
 impl ScriptedResponse {
-    /// A response with status 200 and this body.
+    /// A 200 response with this body.
     pub(crate) fn ok(body: &str) -> Self {
         Self::Write(super::ok_response(body))
     }
 
-    /// The same, after a delay.
+    /// A 200 response with this body, sent after a delay.
     pub(crate) fn ok_after(delay_ms: u64, body: &str) -> Self {
         Self::WriteAfter { delay_ms, text: super::ok_response(body) }
     }
@@ -57,10 +57,10 @@
     }
 }
 
-/// Whether an endpoint reads further requests from a connection.
+/// Whether an endpoint continues to read requests from a connection.
 enum ConnectionState {
     Open,
-    Ended,
+    Closed,
 }
 
 #[derive(Default)]
@@ -71,69 +71,67 @@
     connections_closed: AtomicU32,
 }
 
-/// An endpoint that records each request and sends the responses of its script, the last of them for ever.
+/// An endpoint that records each request and responds as scripted. The last response of the script repeats.
 pub(crate) struct TestEndpoint {
     pub(crate) address: SocketAddr,
     state: Arc<State>,
 }
 
 impl TestEndpoint {
-    /// Starts an endpoint on a port that the system chooses.
+    /// Starts an endpoint on an ephemeral port.
     pub(crate) async fn start(script: &[ScriptedResponse]) -> Self {
-        Self::serve(TcpListener::bind("127.0.0.1:0").await.expect("a port"), script)
+        Self::serve(TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a loopback port"), script)
     }
 
-    /// Starts an endpoint whose every response is this one.
+    /// Starts an endpoint that sends the same response to every request.
     pub(crate) async fn responding(response: ScriptedResponse) -> Self {
         Self::start(&[response]).await
     }
 
-    /// Starts an endpoint that responds with status 200 and this body.
+    /// Starts an endpoint that sends a 200 response with this body to every request.
     pub(crate) async fn ok(body: &str) -> Self {
         Self::responding(ScriptedResponse::ok(body)).await
     }
 
-    /// Starts an endpoint on a listener.
     pub(crate) fn serve(listener: TcpListener, script: &[ScriptedResponse]) -> Self {
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("listener has no address");
         let state = Arc::new(State { script: Mutex::new(script.to_vec()), ..State::default() });
         tokio::spawn(state.clone().accept_connections(listener));
         Self { address, state }
     }
 
-    /// Replaces the script.
     pub(crate) fn set_script(&self, script: &[ScriptedResponse]) {
-        *self.state.script.lock().expect("lock") = script.to_vec();
+        *self.state.script.lock().expect("lock poisoned") = script.to_vec();
     }
 
-    /// All requests so far.
+    /// All requests received so far.
     pub(crate) fn requests(&self) -> Vec<HttpMessage> {
-        self.state.requests.lock().expect("lock").clone()
+        self.state.requests.lock().expect("lock poisoned").clone()
     }
 
-    /// How many requests have come so far.
+    /// The number of requests received so far.
     pub(crate) fn request_count(&self) -> usize {
-        self.state.requests.lock().expect("lock").len()
+        self.state.requests.lock().expect("lock poisoned").len()
     }
 
-    /// How many requests have come whose request line contains this text.
+    /// The number of received requests whose request line contains this text.
     pub(crate) fn requests_containing(&self, text: &str) -> usize {
-        let requests = self.state.requests.lock().expect("lock");
+        let requests = self.state.requests.lock().expect("lock poisoned");
         requests.iter().filter(|request| request.start_line.contains(text)).count()
     }
 
     /// Whether the request line of the last request contains this text.
     pub(crate) fn last_request_contains(&self, text: &str) -> bool {
-        let requests = self.state.requests.lock().expect("lock");
+        let requests = self.state.requests.lock().expect("lock poisoned");
         requests.last().is_some_and(|request| request.start_line.contains(text))
     }
 
-    /// How many connections have been accepted.
+    /// The number of connections accepted so far.
     pub(crate) fn connections_opened(&self) -> u32 {
         self.state.connections_opened.load(SeqCst)
     }
 
-    /// How many connections have ended.
+    /// The number of connections closed so far, by either side.
     pub(crate) fn connections_closed(&self) -> u32 {
         self.state.connections_closed.load(SeqCst)
     }
@@ -150,8 +148,8 @@
     async fn serve_connection(self: Arc<Self>, stream: TcpStream) {
         let mut stream = BufReader::new(stream);
         while let Some(request) = read_message(&mut stream).await {
-            self.requests.lock().expect("lock").push(request);
-            if let ConnectionState::Ended = respond(&mut stream, self.next_response()).await {
+            self.requests.lock().expect("lock poisoned").push(request);
+            if let ConnectionState::Closed = respond(&mut stream, self.next_response()).await {
                 break;
             }
         }
@@ -160,7 +158,7 @@
     }
 
     fn next_response(&self) -> ScriptedResponse {
-        let mut script = self.script.lock().expect("lock");
+        let mut script = self.script.lock().expect("lock poisoned");
         if script.len() > 1 { script.remove(0) } else { script[0].clone() }
     }
 }
@@ -186,25 +184,25 @@
         ScriptedResponse::WriteAndReset(text) => {
             write(stream, &text).await;
             let socket = socket2::SockRef::from(stream.get_ref());
-            socket.set_linger(Some(Duration::ZERO)).expect("set");
-            return ConnectionState::Ended;
+            socket.set_linger(Some(Duration::ZERO)).expect("failed to set SO_LINGER");
+            return ConnectionState::Closed;
         }
         ScriptedResponse::WriteAndClose(text) => {
             write(stream, &text).await;
-            return ConnectionState::Ended;
+            return ConnectionState::Closed;
         }
         ScriptedResponse::WriteRepeatedly(text) => {
             while stream.write_all(text.as_bytes()).await.is_ok() {
                 sleep_ms(REPEAT_INTERVAL_MS).await;
             }
-            return ConnectionState::Ended;
+            return ConnectionState::Closed;
         }
         ScriptedResponse::NoResponse => {}
     }
     ConnectionState::Open
 }
 
-/// Writes a text; a failure shows as the end of the connection at the next read.
+/// Writes a text. A failure is ignored: the next read then reports that the connection is closed.
 async fn write(stream: &mut BufReader<TcpStream>, text: &str) {
     stream.write_all(text.as_bytes()).await.unwrap_or(());
 }
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway as a process with a configuration of its own.
+//! Runs the gateway as a child process with its own configuration file.
 
 use super::{
     CounterBehavior, HttpMessage, READINESS_REQUEST, TestClient, TestCounter, TestDiscovery, TestEndpoint,
@@ -14,7 +14,7 @@
 
 static NEXT_CONFIG_FILE: AtomicU32 = AtomicU32::new(0);
 
-/// A text of the configuration that is replaced by another.
+/// A text replacement in the configuration.
 #[derive(Clone, Debug)]
 pub(crate) struct ConfigEdit {
     old: String,
@@ -22,33 +22,34 @@
 }
 
 impl ConfigEdit {
-    /// `old` must be part of the configuration.
+    /// Replaces `old` by `new`; `old` must occur in the configuration.
     pub(crate) fn new(old: impl ToString, new: impl ToString) -> Self {
         Self { old: old.to_string(), new: new.to_string() }
     }
 }
 
-/// How a gateway's configuration differs from the usual one.
+/// The parts of a gateway's configuration and environment that differ between tests.
 pub(crate) struct GatewayOptions {
-    /// Units per second of the tenants' plan.
+    /// The refill rate of the tenants' plan, in units per second.
     pub(crate) refill_rate: f64,
-    /// Units of the tenants' plan at most.
+    /// The burst of the tenants' plan, in units.
     pub(crate) burst: f64,
     pub(crate) gateway_count: u32,
     pub(crate) gateway_index: u32,
-    /// The endpoint list that the gateway starts with.
+    /// The endpoint list that the configuration contains, used until discovery sends one.
     pub(crate) cached_endpoints: String,
-    /// The limit of open descriptors.
+    /// The limit of open file descriptors.
     pub(crate) max_sockets: usize,
-    /// How long slow start may last, in milliseconds; ejections last for a fraction of it.
+    /// The maximum duration of slow start; ejections last for a fraction of it.
     pub(crate) slow_start_ms: u64,
     pub(crate) config_edits: Vec<ConfigEdit>,
-    /// Which system calls of the gateway fail, in the syntax of the package `fault-injection`.
+    /// The system calls that fail in the gateway, in the syntax of the `fault-injection` package; empty for
+    /// none.
     pub(crate) system_call_faults: String,
 }
 
 impl GatewayOptions {
-    /// The usual options, with these entries of the endpoint list cached.
+    /// The default options, with these entries in the cached endpoint list.
     pub(crate) fn with_entries(entries: &[String]) -> Self {
         Self {
             refill_rate: 500.0,
@@ -63,18 +64,18 @@
         }
     }
 
-    /// The same, with one endpoint named `b`.
+    /// The default options, with one cached endpoint named `b`.
     pub(crate) fn with_endpoint(address: SocketAddr) -> Self {
         Self::with_entries(&[in_service("b", address)])
     }
 
-    /// The same, with system calls that fail.
+    /// Sets the system calls that fail, see [`Self::system_call_faults`].
     pub(crate) fn with_faults(self, faults: &str) -> Self {
         Self { system_call_faults: faults.to_owned(), ..self }
     }
 
-    /// The same, with latency objectives and timeouts of the counter and of connection attempts so long that
-    /// requests wait for quota, endpoint and response.
+    /// Sets the latency objectives, the counter timeout and the connect timeout to `ms`, so that requests
+    /// wait for quota, for an endpoint and for the response.
     pub(crate) fn with_long_timeouts(self, ms: u64) -> Self {
         let config_edits = vec![
             ConfigEdit::new(r#""goal-time-ms":800"#, format!(r#""goal-time-ms":{ms}"#)),
@@ -103,12 +104,12 @@
             "rules":{{"cold-from":0.2,"cold-ms":{slow_start_ms}}}}}}}"#
         );
         config_edits.iter().fold(text, |text, edit| {
-            assert!(text.contains(&edit.old), "{} is not in the configuration", edit.old);
+            assert!(text.contains(&edit.old), "configuration does not contain {}", edit.old);
             text.replace(&edit.old, &edit.new)
         })
     }
 
-    /// Starts the process; the shell limits its open descriptors.
+    /// Starts the process through a shell that limits its open file descriptors.
     fn spawn(&self, config_file: &PathBuf, discovery: SocketAddr) -> Child {
         let script = r#"ulimit -n "$0" && exec "$1""#;
         let mut command = Command::new("sh");
@@ -123,13 +124,14 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .expect("a gateway")
+            .expect("failed to start the gateway")
     }
 }
 
-/// The library that makes system calls fail: as a dependency of the tests it is built beside them.
+/// The path of the fault injection library. As a dev-dependency it is built into the directory of the test
+/// binary.
 fn fault_library() -> PathBuf {
-    let tests = std::env::current_exe().expect("this program");
+    let tests = std::env::current_exe().expect("failed to get the path of the test binary");
     let library = tests.with_file_name("libfault_injection.so");
     assert!(library.exists(), "{} was not built", library.display());
     library
@@ -143,30 +145,31 @@
     config_text: String,
     log: Arc<Mutex<Vec<String>>>,
     log_reader: tokio::task::JoinHandle<()>,
-    /// Whether the log is no longer read, though its reading end is open.
+    /// Whether reading of the log has stopped while the read end of its pipe stays open.
     log_reading_paused: Arc<AtomicBool>,
 }
 
 impl GatewayProcess {
-    /// Starts a gateway and waits until it listens.
+    /// Starts a gateway and waits until it listens; the first log line contains its address.
     pub(crate) async fn start(discovery: SocketAddr, counter: SocketAddr, options: &GatewayOptions) -> Self {
         let config_text = options.config_text(discovery, counter);
         let file_number = NEXT_CONFIG_FILE.fetch_add(1, SeqCst);
         let file_name = format!("ryefront-gateway-{}-{file_number}.json", std::process::id());
         let config_file = std::env::temp_dir().join(file_name);
-        std::fs::write(&config_file, &config_text).expect("a file");
+        std::fs::write(&config_file, &config_text).expect("failed to write the configuration");
         let mut child = options.spawn(&config_file, discovery);
-        let mut lines = BufReader::new(child.stderr.take().expect("its log")).lines();
+        let mut lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
         let first = within_timeout("the gateway's first log line", lines.next_line()).await;
-        let first = first.expect("a log").expect("a line");
-        let address = first.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address");
+        let first = first.expect("failed to read the log").expect("gateway exited without a log line");
+        let address =
+            first.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("no address in the first log line");
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
         let recorded = log.clone();
         let log_reading_paused = Arc::<AtomicBool>::default();
         let paused = log_reading_paused.clone();
         let log_reader = tokio::spawn(async move {
             while let Ok(Some(line)) = lines.next_line().await {
-                recorded.lock().expect("lock").push(line);
+                recorded.lock().expect("lock poisoned").push(line);
                 if paused.load(SeqCst) {
                     std::future::pending().await
                 }
@@ -175,7 +178,7 @@
         Self { address, child, config_file, config_text, log, log_reader, log_reading_paused }
     }
 
-    /// A client with a new connection.
+    /// Opens a client connection.
     pub(crate) async fn client(&self) -> TestClient {
         TestClient::connect(self.address).await
     }
@@ -185,86 +188,98 @@
         self.client().await.request(text).await
     }
 
-    /// How many lines of the log start with this prefix.
+    /// The number of log lines that start with this prefix.
     pub(crate) fn count_log_lines(&self, prefix: &str) -> usize {
         self.log_lines(prefix).len()
     }
 
-    /// The lines of the log that start with this prefix.
+    /// The log lines that start with this prefix.
     pub(crate) fn log_lines(&self, prefix: &str) -> Vec<String> {
-        self.log.lock().expect("lock").iter().filter(|line| line.starts_with(prefix)).cloned().collect()
+        self.log
+            .lock()
+            .expect("lock poisoned")
+            .iter()
+            .filter(|line| line.starts_with(prefix))
+            .cloned()
+            .collect()
     }
 
-    /// Stops reading the log, after the next line, without closing its reading end.
+    /// Stops reading the log after the next line and keeps the read end of its pipe open.
     pub(crate) fn stop_reading_log(&self) {
         self.log_reading_paused.store(true, SeqCst);
     }
 
-    /// Closes the reading end of the log, so that the gateway's writes to it fail from now on.
+    /// Closes the read end of the log pipe, so that subsequent writes of the gateway fail.
     pub(crate) async fn close_log(&mut self) {
         self.log_reader.abort();
         let _ = (&mut self.log_reader).await;
     }
 
-    /// Rewrites the configuration file from the text the gateway was started with, without a signal.
+    /// Rewrites the configuration file without sending a signal; `edit` gets the text the gateway started
+    /// with.
     pub(crate) fn write_config(&self, edit: impl Fn(&str) -> String) {
-        std::fs::write(&self.config_file, edit(&self.config_text)).expect("a file");
+        std::fs::write(&self.config_file, edit(&self.config_text))
+            .expect("failed to write the configuration");
     }
 
-    /// Rewrites the configuration file, sends SIGHUP, and waits until the gateway has logged the result.
+    /// Rewrites the configuration file, sends SIGHUP, and waits until the gateway logs the result.
     pub(crate) async fn reconfigure(&mut self, edits: &[ConfigEdit]) {
         self.write_config(|text| {
             edits.iter().fold(text.to_owned(), |text, edit| text.replace(&edit.old, &edit.new))
         });
         let before = self.count_log_lines("configuration ");
         self.send_sighup();
-        wait_until("a log line on the configuration", || self.count_log_lines("configuration ") > before)
+        wait_until("a log line about the configuration", || self.count_log_lines("configuration ") > before)
             .await;
     }
 
-    /// Sends the signal at which the gateway reads its configuration again.
+    /// Sends SIGHUP, which makes the gateway reload its configuration.
     pub(crate) fn send_sighup(&self) {
         self.send_signal("-HUP");
     }
 
-    /// Sends the signal that starts a graceful shutdown.
+    /// Sends SIGTERM, which starts a graceful shutdown.
     pub(crate) fn send_sigterm(&self) {
         self.send_signal("-TERM");
     }
 
-    /// Suspends the process; it processes what happens until [`Self::resume`] in one turn of its event loop.
+    /// Suspends the process. Events until [`Self::resume`] are processed in one iteration of its event loop.
     pub(crate) fn suspend(&self) {
         self.send_signal("-STOP");
     }
 
-    /// Continues a suspended process.
+    /// Resumes a suspended process.
     pub(crate) fn resume(&self) {
         self.send_signal("-CONT");
     }
 
     fn send_signal(&self, signal: &str) {
-        let id = self.child.id().expect("a process").to_string();
-        let sent = std::process::Command::new("kill").args([signal, &id]).status().expect("kill");
+        let id = self.child.id().expect("gateway has exited").to_string();
+        let sent =
+            std::process::Command::new("kill").args([signal, &id]).status().expect("failed to run kill");
         assert!(sent.success());
     }
 
-    /// How many descriptors the process has open.
+    /// The number of file descriptors the process has open.
     pub(crate) fn open_descriptors(&self) -> usize {
-        let id = self.child.id().expect("a process");
-        std::fs::read_dir(format!("/proc/{id}/fd")).expect("its descriptors").count()
+        let id = self.child.id().expect("gateway has exited");
+        std::fs::read_dir(format!("/proc/{id}/fd")).expect("failed to list the open descriptors").count()
     }
 
     /// The resident memory of the process, in KiB.
     pub(crate) fn resident_memory_kib(&self) -> u64 {
-        let id = self.child.id().expect("a process");
-        let status = std::fs::read_to_string(format!("/proc/{id}/status")).expect("its status");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("its memory");
-        line.trim().trim_end_matches(" kB").parse().expect("a number")
+        let id = self.child.id().expect("gateway has exited");
+        let status =
+            std::fs::read_to_string(format!("/proc/{id}/status")).expect("failed to read the process status");
+        let line =
+            status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("process status has no VmRSS");
+        line.trim().trim_end_matches(" kB").parse().expect("VmRSS is not a number")
     }
 
-    /// Waits until draining has begun, which is a moment after the signal: the readiness check fails.
+    /// Waits until the readiness check fails, which shows that draining has begun; that is shortly after the
+    /// signal.
     pub(crate) async fn wait_until_draining(&self) {
-        within_timeout("draining", async {
+        within_timeout("the start of draining", async {
             loop {
                 let response = self.request(READINESS_REQUEST).await;
                 if response.status() == 503 {
@@ -275,12 +290,12 @@
         .await;
     }
 
-    /// Waits until the process has ended.
+    /// Waits until the process exits.
     pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
-        within_timeout("the gateway's exit", self.child.wait()).await.expect("a status")
+        within_timeout("the gateway's exit", self.child.wait()).await.expect("failed to wait for the gateway")
     }
 
-    /// Waits until the process has ended; panics unless its exit code is 0.
+    /// Waits until the process exits; panics unless its exit code is 0.
     pub(crate) async fn expect_clean_exit(&mut self) {
         assert_eq!(self.wait_for_exit().await.code(), Some(0));
     }
@@ -292,7 +307,7 @@
     }
 }
 
-/// A gateway with a discovery service that has published nothing yet and a counter.
+/// A gateway with its counter and a discovery service that has not published a list yet.
 pub(crate) struct TestEnvironment {
     pub(crate) gateway: GatewayProcess,
     pub(crate) discovery: TestDiscovery,
@@ -300,7 +315,8 @@
 }
 
 impl TestEnvironment {
-    /// With these endpoints in service, named `b0`, `b1` and so on, and a counter that works.
+    /// Starts a gateway with these cached endpoints, named `b0`, `b1` and so on, and a counter without
+    /// faults.
     pub(crate) async fn with_endpoints(endpoints: &[&TestEndpoint]) -> Self {
         let named = endpoints.iter().enumerate();
         let entries: Vec<_> =
@@ -308,7 +324,7 @@
         Self::start(&GatewayOptions::with_entries(&entries), CounterBehavior::Add).await
     }
 
-    /// With these options and a counter that behaves so.
+    /// Starts a gateway with these options and a counter with this behavior.
     pub(crate) async fn start(options: &GatewayOptions, behavior: CounterBehavior) -> Self {
         let discovery = TestDiscovery::start().await;
         let counter = TestCounter::start(behavior).await;
--- a/gateway/tests/common/http.rs
+++ b/gateway/tests/common/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages as the test servers and clients read and write them.
+//! A minimal HTTP/1.1 message reader for the test servers and clients.
 
 use std::collections::HashMap;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, BufReader};
@@ -9,7 +9,7 @@
 pub(crate) struct HttpMessage {
     /// The request line or the status line.
     pub(crate) start_line: String,
-    /// Values by header name in lower case.
+    /// Header values, keyed by the lowercase header name.
     pub(crate) headers: HashMap<String, String>,
     pub(crate) body: Vec<u8>,
 }
@@ -17,11 +17,15 @@
 impl HttpMessage {
     /// The status code of a response.
     pub(crate) fn status(&self) -> u16 {
-        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
+        self.start_line
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .expect("status line has no status code")
     }
 }
 
-/// Reads one message; `None` at the end of the connection.
+/// Reads one message. Returns `None` if the connection closes before the message is complete.
 pub(crate) async fn read_message(stream: &mut BufReader<TcpStream>) -> Option<HttpMessage> {
     let mut start_line = String::new();
     if stream.read_line(&mut start_line).await.ok()? == 0 {
@@ -44,7 +48,7 @@
     }
 }
 
-/// A response with status 200 and this body.
+/// A 200 response with this body.
 pub(crate) fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -1,7 +1,8 @@
-//! What the gateway's tests share: the gateway as a process, and test servers for all that it talks to.
+//! Shared helpers of the gateway's tests: the gateway process, and fakes of its clients, its endpoints, the
+//! discovery service and the counter.
 //!
-//! Servers listen on loopback ports that the system chooses. Tests wait for events, with timeouts that only a
-//! hang reaches.
+//! All servers listen on ephemeral loopback ports. Tests wait for events, with a timeout long enough that
+//! only a hang exceeds it.
 
 #![allow(dead_code, unused_imports)]
 
--- a/gateway/tests/common/sockets.rs
+++ b/gateway/tests/common/sockets.rs
@@ -1,4 +1,4 @@
-//! States of TCP connections that a test needs to force or to observe.
+//! Forces and observes states of TCP connections.
 
 use super::{ok_response, read_message, wait_until};
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// How many checks in a row have to miss a connection before it counts as ended.
+/// The number of consecutive checks that must miss a connection before it is considered closed.
 const MISSES_UNTIL_CLOSED: u32 = 10;
-/// How long a connection attempt may take before the backlog counts as full.
+/// A connection attempt that takes longer than this shows that the backlog is full.
 const BACKLOG_FULL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The state of a connection in `/proc/net/tcp`.
+/// A connection state of `/proc/net/tcp`.
 #[derive(Clone, Copy)]
 enum TcpState {
     Established,
@@ -31,10 +31,11 @@
     }
 }
 
-/// Whether the system has a connection in this state to a port, from a port or from any. What changes during
-/// the check may be missed, so absence proves nothing.
+/// Whether `/proc/net/tcp` lists a connection in this state to port `to`, from port `from` or, if `None`,
+/// from any port. The table can change while it is read and omit a connection, so a single negative result is
+/// not conclusive.
 fn has_connection(state: TcpState, from: Option<u16>, to: u16) -> bool {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of connections");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("failed to read /proc/net/tcp");
     let port = |field: &str| field.rsplit(':').next().and_then(|p| u16::from_str_radix(p, 16).ok());
     table.lines().skip(1).any(|line| {
         let fields: Vec<_> = line.split_whitespace().take(4).collect();
@@ -43,21 +44,20 @@
     })
 }
 
-/// How a peer ends its side of a connection.
+/// How a peer closes its side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum PeerClose {
-    /// With a FIN, after which the connection is in `CLOSE_WAIT`.
+    /// A FIN, which leaves the connection in `CLOSE_WAIT`.
     Fin,
-    /// With a RST, which leaves no trace.
+    /// An RST, which removes the connection from the table.
     Reset,
 }
 
-/// Waits until the end of a connection has reached the socket at `local`, whose peer is `peer`: on a busy
-/// machine that takes a while, also over loopback. A reset shows only as a connection that is missing check
-/// after check.
+/// Waits until the FIN or RST of `peer` has reached the socket at `local`, which can take a while on a busy
+/// machine, even over loopback. A reset is recognized by repeated checks that do not find the connection.
 pub(crate) async fn wait_for_peer_close(local: SocketAddr, peer: SocketAddr, close: PeerClose) {
     let missing = AtomicU32::new(0);
-    wait_until("the end of the connection", || {
+    wait_until("the close of the connection by its peer", || {
         if has_connection(TcpState::Established, Some(local.port()), peer.port()) {
             missing.store(0, SeqCst);
         }
@@ -68,60 +68,61 @@
     .await;
 }
 
-/// Waits until a connection attempt to an address with a full backlog is under way.
+/// Waits until a connection attempt to an address with a full backlog has started.
 pub(crate) async fn wait_for_connection_attempt(to: SocketAddr) {
     wait_until("a connection attempt", || has_connection(TcpState::SynSent, None, to.port())).await;
 }
 
-/// A port that is bound but not listened at: it refuses connections, and no other process can bind it.
+/// A port that is bound but has no listener: it refuses connections, and no other process can bind it.
 pub(crate) struct RefusingPort {
     pub(crate) address: SocketAddr,
     socket: TcpSocket,
 }
 
 impl RefusingPort {
-    /// Binds a port that the system chooses.
+    /// Binds an ephemeral port.
     pub(crate) fn bind() -> Self {
-        let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let address = socket.local_addr().expect("an address");
+        let socket = TcpSocket::new_v4().expect("failed to create a socket");
+        socket.bind("127.0.0.1:0".parse().expect("valid address")).expect("failed to bind a loopback port");
+        let address = socket.local_addr().expect("socket has no address");
         Self { address, socket }
     }
 
-    /// Accepts connections from now on.
+    /// Starts to listen on the port.
     pub(crate) fn listen(self, backlog: u32) -> TcpListener {
-        self.socket.listen(backlog).expect("a listener")
+        self.socket.listen(backlog).expect("failed to listen")
     }
 }
 
-/// A listener whose backlog is full: further connections are not established until [`Self::accept_all`].
+/// A listener with a full backlog: no further connection is established before [`Self::accept_all`].
 pub(crate) struct FullBacklog {
     pub(crate) address: SocketAddr,
     listener: TcpListener,
-    waiting: Vec<TcpStream>,
+    queued: Vec<TcpStream>,
 }
 
 impl FullBacklog {
-    /// Listens, and connects until the backlog is full.
+    /// Starts a listener and fills its backlog with connections.
     pub(crate) async fn start() -> Self {
-        let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind("127.0.0.1:0".parse().expect("an address")).expect("bound");
-        let listener = socket.listen(1).expect("listening");
-        let address = listener.local_addr().expect("an address");
-        let mut waiting = Vec::new();
+        let socket = TcpSocket::new_v4().expect("failed to create a socket");
+        socket.bind("127.0.0.1:0".parse().expect("valid address")).expect("failed to bind a loopback port");
+        let listener = socket.listen(1).expect("failed to listen");
+        let address = listener.local_addr().expect("socket has no address");
+        let mut queued = Vec::new();
         let connect = || tokio::time::timeout(BACKLOG_FULL_TIMEOUT, TcpStream::connect(address));
         while let Ok(Ok(stream)) = connect().await {
-            waiting.push(stream);
+            queued.push(stream);
         }
-        Self { address, listener, waiting }
+        Self { address, listener, queued }
     }
 
-    /// Frees the backlog, and responds to all requests on the connections that are established then.
+    /// Empties the backlog, and responds to all requests on the connections that are then established.
     pub(crate) fn accept_all(self) -> LateConnections {
         let state = Arc::<LateState>::default();
-        let own: Vec<_> = self.waiting.iter().filter_map(|stream| stream.local_addr().ok()).collect();
-        drop(self.waiting);
-        tokio::spawn(state.clone().accept_connections(self.listener, own));
+        let own_addresses: Vec<_> =
+            self.queued.iter().filter_map(|stream| stream.local_addr().ok()).collect();
+        drop(self.queued);
+        tokio::spawn(state.clone().accept_connections(self.listener, own_addresses));
         LateConnections { state }
     }
 }
@@ -133,26 +134,27 @@
     closed: AtomicUsize,
 }
 
-/// Connections that were established once a full backlog was freed, without those that had filled it.
+/// The connections established after a full backlog was emptied, except for those that had filled it.
 pub(crate) struct LateConnections {
     state: Arc<LateState>,
 }
 
 impl LateConnections {
-    /// Waits until at least `count` have been established.
+    /// Waits until at least `count` connections have been established.
     pub(crate) async fn wait_until_opened(&self, count: usize) {
-        wait_until("late connections", || self.state.opened.load(SeqCst) >= count).await;
+        wait_until("connections after the backlog was emptied", || self.state.opened.load(SeqCst) >= count)
+            .await;
     }
 
-    /// Waits until all that were established have been closed by the peer.
+    /// Waits until the peer has closed all established connections.
     pub(crate) async fn wait_until_all_closed(&self) {
         let all_closed = || self.state.opened.load(SeqCst) == self.state.closed.load(SeqCst);
-        wait_until("the end of the late connections", all_closed).await;
+        wait_until("the close of all late connections", all_closed).await;
     }
 
-    /// The request lines of all requests that came.
+    /// The request lines of all received requests.
     pub(crate) fn request_lines(&self) -> Vec<String> {
-        self.state.request_lines.lock().expect("lock").clone()
+        self.state.request_lines.lock().expect("lock poisoned").clone()
     }
 }
 
@@ -170,7 +172,7 @@
     async fn serve_connection(self: Arc<Self>, stream: TcpStream) {
         let mut stream = BufReader::new(stream);
         while let Some(request) = read_message(&mut stream).await {
-            self.request_lines.lock().expect("lock").push(request.start_line);
+            self.request_lines.lock().expect("lock poisoned").push(request.start_line);
             let _ = stream.write_all(ok_response("late").as_bytes()).await;
         }
         self.closed.fetch_add(1, SeqCst);
--- a/gateway/tests/graceful_shutdown/load.rs
+++ b/gateway/tests/graceful_shutdown/load.rs
@@ -1,4 +1,4 @@
-//! Clients that send requests until a gateway is killed, and the log of how those ended.
+//! Clients that send requests to a gateway until it is killed, and the log of the outcomes.
 
 use crate::common::{Class, RequestBuilder, TestClient, read_message};
 use crate::scenario::Scenario;
@@ -11,41 +11,42 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-/// Clients send up to this long before the kill: a later request finds no gateway, and the close of its
-/// connection is not seen before the kill.
-const LAST_SEND_BEFORE_KILL: Duration = Duration::from_millis(5);
-/// How long clients send requests before SIGTERM.
+/// Clients stop sending this long before the kill: the gateway may be gone when a later request arrives, and
+/// the client would not see the close of its connection before the kill.
+const SEND_MARGIN_BEFORE_KILL: Duration = Duration::from_millis(5);
+/// How long the clients send requests before SIGTERM.
 pub(crate) const LOAD_BEFORE_SIGTERM: Duration = Duration::from_millis(400);
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Outcome {
     Answered,
-    /// A connection kept from an earlier request was closed without a response: the client sends the request
-    /// again.
-    CrossedClose,
+    /// A reused connection was closed without a response. The client may retry such a request, so the gateway
+    /// must not have forwarded it.
+    ReusedConnectionClosed,
     /// A new connection was closed without a response.
     NewConnectionClosed,
-    /// No response had come when the gateway was killed.
+    /// There was no response when the gateway was killed.
     Unanswered,
 }
 
-/// What kind of connection a request was sent on.
+/// Whether a request was the first one on its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Connection {
     New,
     Reused,
 }
 
-/// A request that a client sent.
+/// A request sent by a client, and its outcome.
 pub(crate) struct SentRequest {
     pub(crate) id: String,
+    /// How long before the kill the request was sent.
     pub(crate) before_kill: Duration,
     pub(crate) connection: Connection,
     pub(crate) outcome: Outcome,
 }
 
-/// The requests of all clients of a scenario.
+/// The log of the requests of all clients of a scenario.
 #[derive(Default)]
 pub(crate) struct RequestLog {
     pub(crate) requests: Mutex<Vec<SentRequest>>,
@@ -53,46 +54,54 @@
 
 impl RequestLog {
     fn add(&self, request: SentRequest) {
-        self.requests.lock().expect("lock").push(request);
+        self.requests.lock().expect("lock poisoned").push(request);
     }
 
-    /// The number of requests.
     pub(crate) fn len(&self) -> usize {
-        self.requests.lock().expect("lock").len()
+        self.requests.lock().expect("lock poisoned").len()
     }
 
-    /// The number of requests that ended so.
+    /// The number of requests with this outcome.
     pub(crate) fn count(&self, outcome: Outcome) -> usize {
-        self.requests.lock().expect("lock").iter().filter(|request| request.outcome == outcome).count()
+        self.requests
+            .lock()
+            .expect("lock poisoned")
+            .iter()
+            .filter(|request| request.outcome == outcome)
+            .count()
     }
 }
 
-/// What the clients of a scenario have in common.
+/// The parameters that the clients of a scenario share.
 #[derive(Clone)]
 pub(crate) struct Load {
     pub(crate) gateway: SocketAddr,
     pub(crate) log: Arc<RequestLog>,
     pub(crate) deadline: Duration,
-    /// No new connections from then on.
-    pub(crate) last_arrival: Instant,
+    /// Clients open no new connection from this time on.
+    pub(crate) last_connect: Instant,
     pub(crate) kill: Instant,
 }
 
 impl Load {
-    /// Whether there is time for another request before the kill.
+    /// Whether a request can still be sent before the kill.
     fn may_send(&self) -> bool {
-        Instant::now() + LAST_SEND_BEFORE_KILL < self.kill
+        Instant::now() + SEND_MARGIN_BEFORE_KILL < self.kill
     }
 
     fn request(&self, class: Class, body: &str) -> String {
         RequestBuilder::new(class, self.deadline.as_millis() as u64).body(body).build()
     }
 
-    /// Sends a request and logs how it ended.
+    /// Sends a request and logs its outcome.
     async fn send(&self, client: &mut TestClient, connection: Connection, text: &str) -> Outcome {
         let before_kill = self.kill.saturating_duration_since(Instant::now());
         let outcome = self.exchange(client, connection, text).await;
-        let id = text.lines().find_map(|line| line.strip_prefix("Req-Id: ")).expect("an id").to_owned();
+        let id = text
+            .lines()
+            .find_map(|line| line.strip_prefix("Req-Id: "))
+            .expect("request has no Req-Id")
+            .to_owned();
         self.log.add(SentRequest { id, before_kill, connection, outcome });
         outcome
     }
@@ -100,29 +109,29 @@
     async fn exchange(&self, client: &mut TestClient, connection: Connection, text: &str) -> Outcome {
         let closed = match connection {
             Connection::New => Outcome::NewConnectionClosed,
-            Connection::Reused => Outcome::CrossedClose,
+            Connection::Reused => Outcome::ReusedConnectionClosed,
         };
         if client.stream.write_all(text.as_bytes()).await.is_err() {
             return closed;
         }
         match timeout_at(self.kill, read_message(&mut client.stream)).await {
             Ok(Some(_)) => Outcome::Answered,
-            // A connection that the kill itself closes had no response by then.
+            // The kill itself closed the connection.
             Ok(None) if Instant::now() >= self.kill => Outcome::Unanswered,
             Ok(None) => closed,
             Err(_) => Outcome::Unanswered,
         }
     }
 
-    /// A client that sends one request after another, on its open connection as long as it has one.
-    async fn run_active_client(&self, mut random: Rng) {
-        let mut idle: Option<TestClient> = None;
+    /// Runs a client that sends one request after another and reuses its connection while that is open.
+    async fn run_active_client(&self, mut rng: Rng) {
+        let mut open: Option<TestClient> = None;
         while self.may_send() {
-            let connection = if idle.is_none() { Connection::New } else { Connection::Reused };
-            if connection == Connection::New && Instant::now() >= self.last_arrival {
+            let connection = if open.is_none() { Connection::New } else { Connection::Reused };
+            if connection == Connection::New && Instant::now() >= self.last_connect {
                 return;
             }
-            let mut client = match idle.take() {
+            let mut client = match open.take() {
                 Some(client) => client,
                 None => match TcpStream::connect(self.gateway).await {
                     Ok(stream) => TestClient::new(stream),
@@ -134,18 +143,20 @@
                 (Class::WithIdempotencyKey, "body"),
                 (Class::NonIdempotent, "body"),
             ];
-            let (class, body) = classes[random.usize(0..3)];
+            let (class, body) = classes[rng.usize(0..3)];
             let outcome = self.send(&mut client, connection, &self.request(class, body)).await;
-            // A request that crossed a close comes again on a new connection, as a request of its own.
-            if outcome == Outcome::Answered && random.u8(0..8) > 0 {
-                idle = Some(client);
+            // After a close without a response the client sends a new request, with a new id, on a new
+            // connection.
+            if outcome == Outcome::Answered && rng.u8(0..8) > 0 {
+                open = Some(client);
             }
-            sleep(Duration::from_millis(random.u64(0..40))).await;
+            sleep(Duration::from_millis(rng.u64(0..40))).await;
         }
     }
 
-    /// A client that sends one request and stays connected, then sends another as late as it can.
-    async fn run_idle_client(&self, mut random: Rng) {
+    /// Runs a client that sends one request, leaves its connection idle for a random part of the time until
+    /// the kill, and then sends another request on it.
+    async fn run_idle_client(&self, mut rng: Rng) {
         let Ok(stream) = TcpStream::connect(self.gateway).await else { return };
         let mut client = TestClient::new(stream);
         for connection in [Connection::New, Connection::Reused] {
@@ -156,26 +167,26 @@
             if outcome != Outcome::Answered {
                 return;
             }
-            let idle_for = self.kill.saturating_duration_since(Instant::now()).mul_f64(random.f64());
+            let idle_for = self.kill.saturating_duration_since(Instant::now()).mul_f64(rng.f64());
             sleep(idle_for).await;
         }
     }
 
-    /// Starts all clients of a scenario: the active ones at once, the others one after another.
+    /// Starts all clients of a scenario: the active ones immediately, the idle ones one after another.
     pub(crate) fn start_clients(&self, scenario: &Scenario) -> Vec<JoinHandle<()>> {
         let mut clients = Vec::new();
         for n in 0..scenario.active_clients + scenario.idle_clients {
-            let random = Rng::with_seed(scenario.seed * 1000 + n as u64);
+            let rng = Rng::with_seed(scenario.seed * 1000 + n as u64);
             let load = self.clone();
             let is_active = n < scenario.active_clients;
             let delay = if is_active { 0.0 } else { 1.2 * n as f64 / 70.0 };
-            let begin = Instant::now() + LOAD_BEFORE_SIGTERM.mul_f64(delay);
+            let start = Instant::now() + LOAD_BEFORE_SIGTERM.mul_f64(delay);
             clients.push(tokio::spawn(async move {
-                sleep_until(begin).await;
+                sleep_until(start).await;
                 if is_active {
-                    load.run_active_client(random).await;
+                    load.run_active_client(rng).await;
                 } else {
-                    load.run_idle_client(random).await;
+                    load.run_idle_client(rng).await;
                 }
             }));
         }
--- a/gateway/tests/graceful_shutdown/main.rs
+++ b/gateway/tests/graceful_shutdown/main.rs
@@ -1,6 +1,6 @@
-//! A soak test of graceful shutdown: gateways get SIGTERM under load and are killed as early as the protocol
-//! allows, while clients use their open connections until then. Each seed draws another scenario.
-//! `SOAK_SEEDS=1-60` plays others than the few of the usual run.
+//! A soak test of graceful shutdown: gateways receive SIGTERM under load and are killed at the earliest time
+//! the shutdown protocol permits, while clients use their open connections until the kill. Each seed
+//! generates a different random scenario. `SOAK_SEEDS=1-60` runs these seeds instead of the default ones.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -19,11 +19,11 @@
 
 const CONCURRENT_SCENARIOS: usize = 3;
 
-/// What a scenario came to.
+/// The result of one scenario.
 struct ScenarioResult {
     violations: Vec<String>,
     request_count: usize,
-    crossed_close: usize,
+    reused_closed: usize,
 }
 
 async fn start_endpoints(scenario: &Scenario) -> Vec<TestEndpoint> {
@@ -49,7 +49,7 @@
     options.with_faults(&scenario.system_call_faults)
 }
 
-/// Sends SIGTERM and the later signals; returns the exit status if the gateway ends before the kill.
+/// Sends SIGTERM and the later signals. Returns the exit status if the gateway exits before the kill.
 async fn shut_down(
     gateway: &mut GatewayProcess, scenario: &Scenario, sigterm: Instant, kill: Instant,
 ) -> Option<ExitStatus> {
@@ -80,7 +80,7 @@
         gateway: gateway.address,
         log: log.clone(),
         deadline: scenario.deadline,
-        last_arrival: sigterm + scenario.arrivals_after_sigterm,
+        last_connect: sigterm + scenario.connects_after_sigterm,
         kill,
     };
 
@@ -96,17 +96,18 @@
     let mut violations = Vec::new();
     for client in clients {
         if let Err(error) = client.await {
-            violations.push(format!("a client: {error}"));
+            violations.push(format!("client task failed: {error}"));
         }
     }
     if let Some(status) = exit.filter(|status| status.code() != Some(0)) {
-        violations.push(format!("ended with {status}"));
+        violations.push(format!("gateway exited with {status}"));
     }
     violations.extend(find_violations(&log, &endpoints));
-    ScenarioResult { violations, request_count: log.len(), crossed_close: log.count(Outcome::CrossedClose) }
+    let reused_closed = log.count(Outcome::ReusedConnectionClosed);
+    ScenarioResult { violations, request_count: log.len(), reused_closed }
 }
 
-/// The attempts of one request that came to endpoints.
+/// The attempts of one request that reached endpoints.
 struct Attempts {
     request_line: String,
     count: usize,
@@ -124,15 +125,17 @@
     attempts
 }
 
-/// Requests that were lost, and non-idempotent ones that ran twice.
+/// Finds requests that were lost, and non-idempotent requests that were forwarded more than once.
 fn find_violations(log: &RequestLog, endpoints: &[TestEndpoint]) -> Vec<String> {
     let attempts = attempts_by_request_id(endpoints);
     let mut violations = Vec::new();
-    for SentRequest { id, before_kill, connection, outcome } in log.requests.lock().expect("lock").iter() {
+    for SentRequest { id, before_kill, connection, outcome } in
+        log.requests.lock().expect("lock poisoned").iter()
+    {
         let was_forwarded = attempts.contains_key(id);
         let is_lost = match outcome {
             Outcome::Answered => false,
-            Outcome::CrossedClose => was_forwarded,
+            Outcome::ReusedConnectionClosed => was_forwarded,
             Outcome::NewConnectionClosed | Outcome::Unanswered => true,
         };
         if is_lost {
@@ -144,47 +147,50 @@
     }
     for (id, Attempts { request_line, count }) in attempts {
         if request_line.contains("/order/") && count > 1 {
-            violations.push(format!("{id}: {request_line} came {count} times"));
+            violations.push(format!("{id}: {request_line} was forwarded {count} times"));
         }
     }
     violations
 }
 
-/// The seeds of `SOAK_SEEDS`, as FIRST-LAST.
+/// Reads the seeds from `SOAK_SEEDS`, which has the form FIRST-LAST.
 fn seeds() -> Vec<u64> {
     let range = std::env::var("SOAK_SEEDS").unwrap_or_else(|_| "1-12".into());
-    let (first, last) = range.split_once('-').expect("SOAK_SEEDS: FIRST-LAST");
-    (first.parse().expect("a seed")..=last.parse().expect("a seed")).collect()
+    let (first, last) = range.split_once('-').expect("SOAK_SEEDS must have the form FIRST-LAST");
+    (first.parse().expect("invalid first seed")..=last.parse().expect("invalid last seed")).collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_shutdowns_under_load_lose_no_request() {
     let mut failed = Vec::new();
     let mut request_count = 0;
-    let mut crossed_close = 0;
+    let mut reused_closed = 0;
     for seeds in seeds().chunks(CONCURRENT_SCENARIOS) {
         let run = |seed: &u64| {
-            let scenario = Scenario::draw(*seed);
+            let scenario = Scenario::from_seed(*seed);
             tokio::spawn(async move { (run_scenario(&scenario).await, scenario) })
         };
         let runs: Vec<_> = seeds.iter().map(run).collect();
         for run in runs {
-            let (result, scenario) = run.await.expect("a scenario");
+            let (result, scenario) = run.await.expect("scenario task failed");
             println!(
-                "seed {}: {} requests, {} crossed a close, {} violations",
+                "seed {}: {} requests, {} on closed reused connections, {} violations",
                 scenario.seed,
                 result.request_count,
-                result.crossed_close,
+                result.reused_closed,
                 result.violations.len()
             );
             request_count += result.request_count;
-            crossed_close += result.crossed_close;
+            reused_closed += result.reused_closed;
             if !result.violations.is_empty() {
                 failed.push(format!("{scenario:?}: {:#?}", result.violations));
             }
         }
     }
 
-    println!("{request_count} requests, {crossed_close} crossed a close, {} scenarios failed", failed.len());
+    println!(
+        "{request_count} requests, {reused_closed} on closed reused connections, {} scenarios failed",
+        failed.len()
+    );
     assert!(request_count > 0 && failed.is_empty(), "{}", failed.join("\n"));
 }
--- a/gateway/tests/process_pause.rs
+++ b/gateway/tests/process_pause.rs
@@ -1,5 +1,5 @@
-//! A gateway that goes on after a pause of its process: what arrived before a timeout is read before the
-//! timeout takes effect.
+//! A gateway process that resumes after a pause: data that arrived during the pause is read before a timeout
+//! that expired during the pause takes effect.
 
 mod common;
 
@@ -10,12 +10,13 @@
 };
 
 const DEADLINE_MS: u64 = 20_000;
-/// Longer than the time in which a client has to send a request.
+/// Longer than the time the gateway allows for the next request on a connection.
 const LONG_PAUSE_MS: u64 = 3000;
-/// Processes that are paused side by side in one test, as a wait of the event loop is not always interrupted.
-const PROCESSES: usize = 4;
+/// The number of gateways that each test pauses concurrently, because a pause does not always interrupt the
+/// wait of an event loop.
+const GATEWAYS: usize = 4;
 
-/// Suspends a gateway, lets `during` happen, and resumes the gateway after a while.
+/// Suspends the gateways, awaits `during`, and resumes the gateways after another `length_ms`.
 async fn pause(environments: &[TestEnvironment], length_ms: u64, during: impl AsyncFnOnce()) {
     environments.iter().for_each(|env| env.gateway.suspend());
     sleep_ms(20).await;
@@ -26,13 +27,13 @@
 
 async fn start_all(options: &GatewayOptions, behavior: CounterBehavior) -> Vec<TestEnvironment> {
     let mut environments = Vec::new();
-    for _ in 0..PROCESSES {
+    for _ in 0..GATEWAYS {
         environments.push(TestEnvironment::start(options, behavior).await);
     }
     environments
 }
 
-// A request that lay unread when the idle timeout was over was reset.
+// Guards against the request timeout closing a connection with an unread request, which reset the connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_that_arrives_on_an_idle_connection_during_a_pause_is_answered() {
     let endpoint = TestEndpoint::ok("x").await;
@@ -53,12 +54,12 @@
     .await;
 
     for client in &mut clients {
-        let response = client.read_response_or_end().await;
+        let response = client.read_response_or_close().await;
         assert_eq!(response.map(|response| response.status()), Some(200));
     }
 }
 
-// A response whose rest lay unread when its time was over was taken for truncated.
+// Guards against treating a response as truncated whose rest is unread when its timeout expires.
 #[tokio::test(flavor = "multi_thread")]
 async fn response_that_is_completed_during_a_pause_is_forwarded() {
     let response = ok_response("abcdef");
@@ -77,7 +78,7 @@
         client.write(&RequestBuilder::new(Class::NonIdempotent, DEADLINE_MS).body("b").build()).await;
         clients.push(client);
     }
-    wait_until("the attempts", || endpoint.request_count() == PROCESSES).await;
+    wait_until("the attempts", || endpoint.request_count() == GATEWAYS).await;
     sleep_ms(50).await;
 
     pause(&environments, 600, async || {}).await;
@@ -88,13 +89,13 @@
     }
 }
 
-// The units of a counter call whose reply lay unread at its timeout were lost.
+// Guards against losing the units of a counter call whose reply is unread when its timeout expires.
 #[tokio::test(flavor = "multi_thread")]
 async fn counter_reply_that_arrives_during_a_pause_is_used() {
     let endpoint = TestEndpoint::ok("x").await;
     let options =
         GatewayOptions { refill_rate: 0.001, burst: 10.0, ..GatewayOptions::with_endpoint(endpoint.address) };
-    // A request waits longer than the call may take, so that it does not fall back on the even part.
+    // Requests wait longer than the counter timeout, so that they are not served from the fallback allowance.
     let long_wait = ConfigEdit::new(r#""goal-time-ms":800"#, r#""goal-time-ms":80000"#);
     let options = GatewayOptions { config_edits: vec![long_wait], ..options };
     let environments = start_all(&options, CounterBehavior::AddAndReplyAfter { delay_ms: 60 }).await;
@@ -105,7 +106,7 @@
         clients.push(client);
     }
     for env in &environments {
-        wait_until("the calls", || env.counter.call_count() == 2).await;
+        wait_until("the counter calls", || env.counter.call_count() == 2).await;
     }
 
     pause(&environments, 600, async || {}).await;
@@ -119,14 +120,15 @@
     }
 }
 
-// An endpoint list that lay unread when its poll's time was over was polled for anew.
+// Guards against repeating a poll whose response, an endpoint list, is unread when the poll's timeout
+// expires.
 #[tokio::test(flavor = "multi_thread")]
 async fn endpoint_list_that_arrives_during_a_pause_is_applied() {
     let old = TestEndpoint::ok("old").await;
     let new = TestEndpoint::ok("new").await;
     let options = GatewayOptions::with_entries(&[in_service("old", old.address)]);
     let mut environments = Vec::new();
-    for _ in 0..PROCESSES {
+    for _ in 0..GATEWAYS {
         let discovery = TestDiscovery::start().await;
         let counter = TestCounter::start(CounterBehavior::Add).await;
         let gateway = common::GatewayProcess::start(discovery.address, counter.address, &options).await;
--- a/gateway/tests/shutdown_sequence.rs
+++ b/gateway/tests/shutdown_sequence.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown, one event at a time: what a draining gateway still serves, and in which order it ends.
-//! Shutdowns under load are in `graceful_shutdown/`.
+//! Graceful shutdown step by step: what a draining gateway still serves, and the order in which it closes
+//! connections, returns quota and exits. `graceful_shutdown/` tests shutdowns under load.
 
 mod common;
 
@@ -12,16 +12,16 @@
 
 const DEADLINE_MS: u64 = 900;
 const LONG_DEADLINE_MS: u64 = 50_000;
-/// A deadline that no request of these tests reaches.
+/// Long enough that no request of these tests reaches its deadline.
 const LONGEST_DEADLINE_MS: u64 = 500_000;
 const LONG_TIMEOUT_MS: u64 = 200_000;
 
-fn patient_options(endpoint: &TestEndpoint) -> GatewayOptions {
+fn long_timeout_options(endpoint: &TestEndpoint) -> GatewayOptions {
     GatewayOptions::with_endpoint(endpoint.address).with_long_timeouts(LONG_TIMEOUT_MS)
 }
 
-/// A plan with a burst of ten units that refills in a quarter of an hour.
-fn small_quota(endpoint: &TestEndpoint) -> GatewayOptions {
+/// A plan with a burst of 10 units, which takes 1000 s to refill completely.
+fn small_quota_options(endpoint: &TestEndpoint) -> GatewayOptions {
     GatewayOptions { refill_rate: 0.01, burst: 10.0, ..GatewayOptions::with_endpoint(endpoint.address) }
 }
 
@@ -29,10 +29,10 @@
 async fn draining_gateway_answers_requests_in_flight_and_new_ones_and_exits_with_status_0() {
     let endpoint = TestEndpoint::start(&[ScriptedResponse::NoResponse, ScriptedResponse::ok("x")]).await;
     let mut env = TestEnvironment::with_endpoints(&[&endpoint]).await;
-    let mut early = env.gateway.client().await;
+    let mut in_flight = env.gateway.client().await;
     let mut idle = env.gateway.client().await;
     assert_eq!(idle.request(READINESS_REQUEST).await.status(), 200);
-    early.write(&non_idempotent_request(2000)).await;
+    in_flight.write(&non_idempotent_request(2000)).await;
     wait_until("the attempt", || endpoint.request_count() == 1).await;
 
     env.gateway.send_sigterm();
@@ -42,10 +42,10 @@
         let response = client.request(&idempotent_request(DEADLINE_MS)).await;
         assert_eq!((response.status(), response.headers["connection"].as_str()), (200, "close"));
     }
-    // The request in flight waits for its endpoint until its deadline.
-    let response = early.read_response().await;
+    // The endpoint never responds, so the request in flight is answered at its deadline.
+    let response = in_flight.read_response().await;
     assert_eq!((response.status(), response.headers["connection"].as_str()), (504, "close"));
-    early.expect_clean_close().await;
+    in_flight.expect_clean_close().await;
     env.gateway.expect_clean_exit().await;
     assert_eq!(endpoint.request_count(), 3);
 }
@@ -59,7 +59,7 @@
 
     env.gateway.send_sigterm();
 
-    // A client whose request crosses this close sends it again on a new connection.
+    // A client whose request races with this close retries it on a new connection.
     idle.expect_clean_close().await;
     let response = env.gateway.request(&non_idempotent_request(DEADLINE_MS)).await;
     assert_eq!((response.status(), response.headers["connection"].as_str()), (200, "close"));
@@ -75,9 +75,10 @@
 
     env.gateway.send_sigterm();
 
-    // Far less than the time limit for headers.
+    // The bound allows for a busy machine. It does not show that the exit precedes the request timeout, which
+    // is 2.5 s.
     let exit = tokio::time::timeout(Duration::from_secs(30), env.gateway.wait_for_exit()).await;
-    assert_eq!(exit.expect("an exit in time").code(), Some(0));
+    assert_eq!(exit.expect("gateway did not exit in time").code(), Some(0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -88,7 +89,8 @@
     assert_eq!(idle.request(READINESS_REQUEST).await.status(), 200);
 
     env.gateway.send_sigterm();
-    // Connected while the gateway drains; its request comes after the idle connections were closed.
+    // This client connects while the gateway drains, and sends its request after the idle connections are
+    // closed.
     let mut new_client = env.gateway.client().await;
     idle.expect_close().await;
     let response = new_client.request(&non_idempotent_request(DEADLINE_MS)).await;
@@ -120,9 +122,9 @@
     let body = "y".repeat(60_000);
     let endpoint = TestEndpoint::ok(&body).await;
     let mut env = TestEnvironment::with_endpoints(&[&endpoint]).await;
-    let socket = TcpSocket::new_v4().expect("a socket");
-    socket.set_recv_buffer_size(2048).expect("a small buffer");
-    let mut client = TestClient::new(socket.connect(env.gateway.address).await.expect("a connection"));
+    let socket = TcpSocket::new_v4().expect("failed to create a socket");
+    socket.set_recv_buffer_size(2048).expect("failed to set SO_RCVBUF");
+    let mut client = TestClient::new(socket.connect(env.gateway.address).await.expect("failed to connect"));
     client.write(&non_idempotent_request(LONG_DEADLINE_MS)).await;
     wait_until("the attempt", || endpoint.request_count() == 1).await;
 
@@ -135,16 +137,16 @@
 /// Why the gateway closes an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CloseReason {
-    IdleTimeout,
+    RequestTimeout,
     Evicted,
     Shutdown,
 }
 
-/// Sends a request that waits in the gateway's system when the gateway closes its connection.
-async fn check_request_crossing_a_close(reason: CloseReason) {
+/// Checks a request that is in the receive buffer of a connection when the gateway closes that connection.
+async fn check_request_racing_with_close(reason: CloseReason) {
     let endpoint = TestEndpoint::ok("x").await;
-    // Leaves 11 connections for clients; from the sixth on, an idle one is evicted for each new one.
-    let options = GatewayOptions { max_sockets: 52, ..patient_options(&endpoint) };
+    // This limit leaves 11 client connections; from the sixth on, each new one evicts an idle one.
+    let options = GatewayOptions { max_sockets: 52, ..long_timeout_options(&endpoint) };
     let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
     let mut client = env.gateway.client().await;
     assert_eq!(client.request(READINESS_REQUEST).await.status(), 200);
@@ -165,25 +167,25 @@
         tokio::time::sleep_until((idle_since + Duration::from_secs(3)).into()).await;
     }
     env.gateway.resume();
-    let response = client.read_response_or_end().await;
+    let response = client.read_response_or_close().await;
 
-    // A client whose connection was closed sends the request again elsewhere, so it must not have been
-    // forwarded.
+    // The client retries its request elsewhere if its connection was closed, so the request must not have
+    // been forwarded.
     let is_answered = response.is_some_and(|response| response.body == b"x");
     assert_eq!(endpoint.request_count(), usize::from(is_answered), "{reason:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn request_crossing_the_close_of_its_connection_is_answered_or_not_forwarded() {
-    for reason in [CloseReason::IdleTimeout, CloseReason::Evicted, CloseReason::Shutdown] {
-        check_request_crossing_a_close(reason).await;
+async fn request_racing_with_the_close_of_its_connection_is_answered_or_not_forwarded() {
+    for reason in [CloseReason::RequestTimeout, CloseReason::Evicted, CloseReason::Shutdown] {
+        check_request_racing_with_close(reason).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn unspent_quota_is_returned_to_the_counter_at_shutdown() {
     let endpoint = TestEndpoint::ok("x").await;
-    let mut env = TestEnvironment::start(&small_quota(&endpoint), CounterBehavior::Add).await;
+    let mut env = TestEnvironment::start(&small_quota_options(&endpoint), CounterBehavior::Add).await;
     let mut client = env.gateway.client().await;
     for _ in 0..3 {
         assert_eq!(client.request(&idempotent_request(DEADLINE_MS)).await.status(), 200);
@@ -201,7 +203,7 @@
 async fn client_that_connects_while_quota_is_returned_is_answered() {
     let endpoint = TestEndpoint::ok("x").await;
     loop {
-        let mut env = TestEnvironment::start(&small_quota(&endpoint), CounterBehavior::Add).await;
+        let mut env = TestEnvironment::start(&small_quota_options(&endpoint), CounterBehavior::Add).await;
         let first = env.gateway.request(&non_idempotent_request(LONG_DEADLINE_MS)).await;
         assert_eq!(first.status(), 200);
         let calls = env.counter.call_count();
@@ -212,7 +214,8 @@
         let stream = TcpStream::connect(env.gateway.address).await;
         env.gateway.resume();
 
-        // On a machine so slow that the gateway no longer listens nothing is shown: try again.
+        // On a slow machine the gateway may already have closed its listener. Such a run is inconclusive and
+        // is repeated.
         let Ok(stream) = stream else { continue };
         let mut client = TestClient::new(stream);
         let response = client.request(&non_idempotent_request(LONG_DEADLINE_MS)).await;
@@ -223,16 +226,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn lease_block_that_comes_after_the_others_were_returned_serves_the_waiting_request() {
+async fn lease_block_granted_after_the_others_were_returned_serves_the_waiting_request() {
     let endpoint = TestEndpoint::ok("x").await;
-    let options = small_quota(&endpoint).with_long_timeouts(LONG_TIMEOUT_MS);
+    let options = small_quota_options(&endpoint).with_long_timeouts(LONG_TIMEOUT_MS);
     let mut env = TestEnvironment::start(&options, CounterBehavior::AddAndHoldReply).await;
     let mut client = env.gateway.client().await;
     client.write(&non_idempotent_request(LONGEST_DEADLINE_MS)).await;
-    // The window before is read beside it, by the same connection or by the other.
+    // The previous window is read concurrently with this call, over the same connection or the other one.
     wait_until("the counter call", || env.counter.call_count() >= 1).await;
     env.gateway.send_sigterm();
-    within_timeout("the listener's end", async {
+    within_timeout("the close of the listener", async {
         while TcpStream::connect(env.gateway.address).await.is_ok() {
             sleep_ms(20).await;
         }
@@ -248,7 +251,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn incomplete_response_and_all_signals_in_one_turn_do_not_prevent_a_clean_exit() {
+async fn incomplete_response_and_all_signals_in_one_loop_iteration_do_not_prevent_a_clean_exit() {
     for incomplete in ["HTTP/1.1 200 OK\r\nContent-Le", "HTTP/1.1 200 OK\r\n\r\nhalf"] {
         let response = ScriptedResponse::WriteInTwoParts {
             first: incomplete.into(),
@@ -256,7 +259,7 @@
             second: String::new(),
         };
         let endpoint = TestEndpoint::responding(response).await;
-        let mut env = TestEnvironment::start(&patient_options(&endpoint), CounterBehavior::Add).await;
+        let mut env = TestEnvironment::start(&long_timeout_options(&endpoint), CounterBehavior::Add).await;
         let mut client = env.gateway.client().await;
         client.write(&non_idempotent_request(LONGEST_DEADLINE_MS)).await;
         wait_until("the attempt", || endpoint.request_count() == 1).await;
