--- a/gateway/tests/process.rs
+++ b/gateway/tests/process.rs
@@ -1,4 +1,4 @@
-//! Start of the process, its configuration file and its log.
+//! The gateway as a process: its start without discovery, its configuration file and its log.
 
 mod common;
 
@@ -14,10 +14,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn cached_endpoints_serve_without_discovery_and_counter() {
-    let nobody = RefusingPort::bind();
+    let unreachable = RefusingPort::bind();
     let endpoint = TestEndpoint::ok("x").await;
     let options = GatewayOptions::with_endpoint(endpoint.address);
-    let gateway = GatewayProcess::start(nobody.address, nobody.address, &options).await;
+    let gateway = GatewayProcess::start(unreachable.address, unreachable.address, &options).await;
     let mut client = gateway.client().await;
 
     assert_eq!(client.request(READINESS_REQUEST).await.status(), 200);
@@ -28,15 +28,15 @@
     assert_eq!(endpoint.request_count(), 5);
 }
 
-/// How discovery fails while a gateway starts.
+/// How discovery fails while the gateway starts.
 #[derive(Clone, Debug)]
 enum DiscoveryFailure {
     RefusesConnections,
     Responds(ScriptedResponse),
 }
 
-/// Starts a gateway with three cached endpoints, one of which no longer exists, while discovery fails;
-/// discovery then recovers with a list that names a new endpoint alone.
+/// Starts a gateway with three cached endpoints, one of which refuses connections, while discovery fails.
+/// Discovery then recovers and publishes a list that contains only a new endpoint.
 async fn check_start_and_recovery(failure: DiscoveryFailure) {
     let new = TestEndpoint::ok("new").await;
     let (one, two) = (TestEndpoint::ok("old").await, TestEndpoint::ok("old").await);
@@ -67,10 +67,10 @@
     assert_served_by(b"old").await;
 
     let discovery = discovery.or(port.map(|port| serve(port, ScriptedResponse::NoResponse)));
-    let discovery = discovery.expect("discovery");
+    let discovery = discovery.expect("discovery was started above");
     let list = snapshot(900, &[in_service("new", new.address)]);
     discovery.set_script(&[ScriptedResponse::ok_after(100, &list)]);
-    wait_until("the request behind the list", || discovery.last_request_contains("after=900&")).await;
+    wait_until("the request after the list", || discovery.last_request_contains("after=900&")).await;
     let before = (one.request_count(), two.request_count());
     assert_served_by(b"new").await;
 
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn gateway_serves_cached_endpoints_however_discovery_fails_and_applies_its_list_when_it_recovers() {
+async fn gateway_serves_cached_endpoints_while_discovery_fails_and_applies_its_list_when_it_recovers() {
     let incomplete = ScriptedResponse::WriteInTwoParts {
         first: "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n".into(),
         delay_ms: 50,
@@ -99,18 +99,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn closed_log_does_not_end_the_gateway() {
+async fn closed_log_pipe_does_not_terminate_the_gateway() {
     let endpoint = TestEndpoint::ok("x").await;
     let mut env = TestEnvironment::with_endpoints(&[&endpoint]).await;
     env.gateway.close_log().await;
     let old = env.discovery.address.to_string();
 
-    // The log lines on the new configurations are lost, and nothing else.
+    // Only the log lines about the new configurations are lost.
     for _ in 0..2 {
         let new = TestDiscovery::start().await;
         env.gateway.write_config(|text| text.replace(&old, &new.address.to_string()));
         env.gateway.send_sighup();
-        wait_until("a request at the new discovery", || new.request_count() > 0).await;
+        wait_until("a request to the new discovery service", || new.request_count() > 0).await;
     }
 
     assert_eq!(env.gateway.request(&idempotent_request(DEADLINE_MS)).await.status(), 200);
@@ -118,16 +118,17 @@
     env.gateway.expect_clean_exit().await;
 }
 
-// A write to a full pipe whose reader does not read stopped the one thread, and with it every request.
+// Guards against log writes that block on a full pipe: the gateway has one thread, so a blocked write stops
+// every request.
 #[tokio::test(flavor = "multi_thread")]
-async fn log_that_nobody_reads_does_not_stop_the_gateway() {
-    /// More lines on new configurations than fit a pipe of 64 KiB and the reader's buffer.
-    const SIGNALS: usize = 2500;
+async fn unread_log_pipe_does_not_block_the_gateway() {
+    /// The resulting log lines exceed a 64 KiB pipe plus the reader's buffer.
+    const SIGNAL_COUNT: usize = 2500;
     let endpoint = TestEndpoint::ok("x").await;
     let mut env = TestEnvironment::with_endpoints(&[&endpoint]).await;
     env.gateway.stop_reading_log();
 
-    for _ in 0..SIGNALS {
+    for _ in 0..SIGNAL_COUNT {
         env.gateway.send_sighup();
         sleep_ms(1).await;
     }
@@ -152,16 +153,16 @@
     ];
 
     for text in texts {
-        std::fs::write(&path, &text).expect("a file");
+        std::fs::write(&path, &text).expect("failed to write the configuration");
         let output = Command::new(env!("CARGO_BIN_EXE_ryefront-gateway"))
             .env("NODE_CONFIG", &path)
             .env_remove("NODE_LISTEN")
             .env_remove("NODE_DISCOVERY")
             .output()
-            .expect("a process");
+            .expect("failed to run the gateway");
         assert_eq!(output.status.code(), Some(2), "{text}");
         assert_eq!(String::from_utf8_lossy(&output.stderr).lines().count(), 1, "{text}");
     }
 
-    std::fs::remove_file(&path).expect("removed");
+    std::fs::remove_file(&path).expect("failed to remove the configuration");
 }
--- a/gateway/tests/reconfiguration.rs
+++ b/gateway/tests/reconfiguration.rs
@@ -1,4 +1,5 @@
-//! A new configuration at SIGHUP: discovery and counter move while requests are in flight.
+//! Reload of the configuration at SIGHUP: the addresses of discovery and the counter change while requests
+//! are in flight.
 
 mod common;
 
@@ -10,24 +11,24 @@
 
 const DEADLINE_MS: u64 = 900;
 const LONG_DEADLINE_MS: u64 = 50_000;
-/// A gateway that has just started reads the window before beside its first lease.
-const FIRST_CALLS: u32 = 2;
+/// A gateway that has just started reads the previous window in addition to requesting its first lease.
+const INITIAL_CALLS: u32 = 2;
 const REJECTED_LOG_LINE: &str = "configuration not read again";
 const APPLIED_LOG_LINE: &str = "configuration read again";
 
 #[tokio::test(flavor = "multi_thread")]
-async fn sighup_moves_discovery_and_counter_while_a_request_is_in_flight() {
+async fn sighup_changes_discovery_and_counter_while_a_request_is_in_flight() {
     let slow = ScriptedResponse::ok_after(600, "old");
     let old = TestEndpoint::start(&[slow, ScriptedResponse::ok("old")]).await;
     let new = TestEndpoint::ok("new").await;
     let mut env = TestEnvironment::with_endpoints(&[&old]).await;
-    let mut early = env.gateway.client().await;
-    early.write(&non_idempotent_request(5000)).await;
+    let mut in_flight = env.gateway.client().await;
+    in_flight.write(&non_idempotent_request(5000)).await;
     wait_until("the attempt", || old.request_count() == 1).await;
     let mut last_discovery = env.discovery.address;
     let mut last_counter = env.counter.address;
 
-    // More than once, and each discovery service counts its versions from far below the last one's.
+    // Each discovery service starts at a list version below that of the previous one, which must be accepted.
     for _ in 0..3 {
         let discovery = TestDiscovery::start().await;
         let counter = TestCounter::start(CounterBehavior::Add).await;
@@ -36,23 +37,23 @@
             ConfigEdit::new(env.counter.address, counter.address),
         ];
         env.gateway.reconfigure(&edits).await;
-        wait_until("a request at the new discovery", || discovery.request_count() > 0).await;
+        wait_until("a request to the new discovery service", || discovery.request_count() > 0).await;
         assert_eq!(discovery.last_request_line(), "GET /discovery/hosts HTTP/1.1");
         discovery.publish(snapshot(0, &[in_service("c", new.address)]));
         discovery.wait_until_processed().await;
         let mut client = env.gateway.client().await;
-        // Another tenant each time, so that its first lease block comes from the counter.
+        // A new tenant each time, so that its first lease block has to come from the new counter.
         let tenant = format!("{:016x}", counter.address.port());
         let text = idempotent_request(DEADLINE_MS).replace("00000000b4d65521", &tenant);
         assert_eq!(client.request(&text).await.body, b"new");
-        wait_until("a call of the new counter", || counter.call_count() > 0).await;
+        wait_until("a call to the new counter", || counter.call_count() > 0).await;
         assert_ne!(std::mem::replace(&mut last_discovery, discovery.address), last_discovery);
         assert_ne!(std::mem::replace(&mut last_counter, counter.address), last_counter);
     }
 
-    // The request in flight all the while gets its one response.
-    assert_eq!(early.read_response().await.body, b"old");
-    early.expect_idle().await;
+    // The request that was in flight throughout gets exactly one response.
+    assert_eq!(in_flight.read_response().await.body, b"old");
+    in_flight.expect_idle().await;
     assert_eq!((old.request_count(), new.request_count()), (1, 3));
 }
 
@@ -67,18 +68,18 @@
     assert_eq!(env.gateway.count_log_lines(REJECTED_LOG_LINE), 1);
     assert_eq!(env.gateway.request(&idempotent_request(DEADLINE_MS)).await.status(), 200);
 
-    // The first configuration again moves nothing. It may also be read before its own signal comes.
+    // The original configuration changes nothing. The gateway may read it once before its own SIGHUP arrives.
     env.gateway.reconfigure(&[]).await;
 
     assert!((1..=2).contains(&env.gateway.count_log_lines(APPLIED_LOG_LINE)));
     assert_eq!(env.gateway.count_log_lines(REJECTED_LOG_LINE), 1);
     sleep_ms(300).await;
-    // A new discovery service would be asked for a snapshot.
+    // After a change of the discovery service the request would be for a snapshot, without `after`.
     assert!(env.discovery.last_request_line().contains("?after=1&"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn configuration_half_written_at_the_signal_is_applied_once_it_is_complete() {
+async fn partially_written_configuration_is_applied_once_it_is_complete() {
     let endpoint = TestEndpoint::ok("x").await;
     let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
     let old = env.discovery.address.to_string();
@@ -88,12 +89,15 @@
     env.gateway.write_config(|text| changed(text)[..text.len() / 2].to_owned());
     env.gateway.send_sighup();
 
-    wait_until("a log line on it", || env.gateway.count_log_lines(REJECTED_LOG_LINE) == 1).await;
+    wait_until("a log line about the rejected configuration", || {
+        env.gateway.count_log_lines(REJECTED_LOG_LINE) == 1
+    })
+    .await;
     assert_eq!(new.request_count(), 0);
 
     env.gateway.write_config(changed);
 
-    wait_until("a request at the new discovery", || new.request_count() > 0).await;
+    wait_until("a request to the new discovery service", || new.request_count() > 0).await;
     assert_eq!(env.gateway.count_log_lines(REJECTED_LOG_LINE), 1);
 }
 
@@ -106,7 +110,7 @@
     let discovery = TestDiscovery::start().await;
     env.gateway.reconfigure(&[ConfigEdit::new(env.discovery.address, discovery.address)]).await;
 
-    // The request in flight at the old service is answered only now, with a list that is stale.
+    // The old service answers the pending request only now, with a stale list.
     env.discovery.publish(snapshot(900, &[in_service("b0", old.address)]));
     let list = snapshot(1, &[in_service("n", new.address)]);
     discovery.publish(list.replace(',', ",\r\n\t ").replace('{', "{\n  "));
@@ -117,29 +121,29 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn call_in_flight_when_the_counter_moves_gets_its_reply_from_the_old_counter() {
+async fn call_in_flight_when_the_counter_changes_gets_its_reply_from_the_old_counter() {
     let endpoint = TestEndpoint::ok("x").await;
     let options =
         GatewayOptions { burst: 8.0, refill_rate: 0.001, ..GatewayOptions::with_endpoint(endpoint.address) };
     let options = options.with_long_timeouts(200_000);
     let mut env = TestEnvironment::start(&options, CounterBehavior::AddAndHoldReply).await;
-    let mut early = env.gateway.client().await;
-    early.write(&non_idempotent_request(LONG_DEADLINE_MS)).await;
-    // On one connection the second call is read after the first has its reply.
+    let mut in_flight = env.gateway.client().await;
+    in_flight.write(&non_idempotent_request(LONG_DEADLINE_MS)).await;
+    // If both calls use one connection, the counter reads the second only after it has replied to the first.
     wait_until("a call", || env.counter.call_count() >= 1).await;
 
     let counter = TestCounter::start(CounterBehavior::Add).await;
     env.gateway.reconfigure(&[ConfigEdit::new(env.counter.address, counter.address)]).await;
-    // A second request of the same tenant waits for the same reply, and nothing is added twice.
-    let mut late = env.gateway.client().await;
-    late.write(&non_idempotent_request(LONG_DEADLINE_MS)).await;
+    // A second request of the same tenant waits for the same reply; the units are not requested again.
+    let mut second = env.gateway.client().await;
+    second.write(&non_idempotent_request(LONG_DEADLINE_MS)).await;
     assert_eq!(env.gateway.request(READINESS_REQUEST).await.status(), 200);
     assert_eq!((counter.call_count(), endpoint.request_count()), (0, 0));
     env.counter.set_behavior(CounterBehavior::Add);
 
-    assert_eq!(early.read_response().await.status(), 200);
-    assert_eq!(late.read_response().await.status(), 200);
+    assert_eq!(in_flight.read_response().await.status(), 200);
+    assert_eq!(second.read_response().await.status(), 200);
     let added = env.counter.sum();
     assert!((1.0..=8.0).contains(&added), "{added}");
-    assert_eq!(env.counter.call_count(), FIRST_CALLS);
+    assert_eq!(env.counter.call_count(), INITIAL_CALLS);
 }
--- a/gateway/tests/wall_clock.rs
+++ b/gateway/tests/wall_clock.rs
@@ -1,4 +1,4 @@
-//! Gateways whose wall clock is wrong at the start: quotas and slow start hold all the same.
+//! Gateways whose wall clock is wrong from the start: quotas and slow start still hold.
 
 mod common;
 
@@ -12,11 +12,11 @@
 const DEADLINE_MS: u64 = 2000;
 const REFILL_RATE: f64 = 12.0;
 const BURST: f64 = 30.0;
-/// How long each run requests more than the quota.
-const OVERLOAD: Duration = Duration::from_secs(8);
+/// How long each run sends more requests than the quota allows.
+const OVERLOAD_DURATION: Duration = Duration::from_secs(8);
 
-/// Sends one tenant's requests to a gateway until `end`, far more than its quota; returns how many were
-/// served.
+/// Sends requests of one tenant to a gateway until `end`, far in excess of the tenant's quota. Returns the
+/// number of served requests.
 async fn count_served(gateway: &GatewayProcess, end: Instant) -> usize {
     let mut client = gateway.client().await;
     let mut served = 0;
@@ -29,7 +29,8 @@
     served
 }
 
-/// What two gateways serve of one quota, as a fraction of it, where the clock of one is off by `skew_ms`.
+/// The ratio of the units that two gateways serve to the quota, when the clock of one gateway is off by
+/// `skew_ms`.
 async fn served_fraction_of_quota(skew_ms: i64) -> f64 {
     let endpoint = TestEndpoint::ok("x").await;
     let discovery = TestDiscovery::start().await;
@@ -49,7 +50,7 @@
     }
 
     let start = Instant::now();
-    let end = start + OVERLOAD;
+    let end = start + OVERLOAD_DURATION;
     let (first, second) = tokio::join!(count_served(&gateways[0], end), count_served(&gateways[1], end));
 
     (first + second) as f64 / (BURST + REFILL_RATE * start.elapsed().as_secs_f64())
@@ -62,12 +63,12 @@
     let runs = skews_ms.map(|skew| tokio::spawn(async move { (skew, served_fraction_of_quota(skew).await) }));
     let mut fractions = Vec::new();
     for run in runs {
-        fractions.push(run.await.expect("a run"));
+        fractions.push(run.await.expect("run task failed"));
     }
 
     println!("clock skew in ms, served fraction of the quota: {fractions:.2?}");
-    // A skew of a second or less is detected within seconds; a window boundary before that can cost up to a
-    // burst.
+    // A skew of a second or less is detected within seconds. Before that, a window boundary can exceed the
+    // quota by up to a burst.
     let max_fraction = |skew: i64| if (1..=1000).contains(&skew.abs()) { 1.35 } else { 1.15 };
     assert!(
         fractions.iter().all(|(skew, fraction)| (0.85..=max_fraction(*skew)).contains(fraction)),
@@ -75,26 +76,26 @@
     );
 }
 
-/// How a gateway learns of the endpoint that has just started.
+/// How the gateway learns of the endpoint that has just started.
 #[derive(Clone, Copy, Debug)]
 enum NewEndpoint {
     Published,
     Cached,
 }
 
-/// How many of 400 requests go to the one endpoint of eight that has just started, at a gateway whose clock
-/// is off by `skew_ms`.
+/// Sends 400 requests to a gateway with eight endpoints, one of which has just started, and a clock that is
+/// off by `skew_ms`. Returns the number of requests at the new endpoint.
 async fn requests_at_new_endpoint(skew_ms: i64, new_endpoint: NewEndpoint) -> usize {
     const SLOW_START_MS: u64 = 300_000;
     let mut endpoints = Vec::new();
     for _ in 0..8 {
         endpoints.push(TestEndpoint::ok("x").await);
     }
-    let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis();
+    let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).expect("time is before the epoch").as_millis();
     let named = endpoints.iter().enumerate();
     let mut entries: Vec<_> =
         named.map(|(n, endpoint)| in_service(&format!("b{n}"), endpoint.address)).collect();
-    let new_entry = entries.pop().expect("an entry");
+    let new_entry = entries.pop().expect("there are eight entries");
     let new_entry = new_entry.replace(r#""born_ms":0"#, &format!(r#""born_ms":{now_ms}"#));
     if let NewEndpoint::Cached = new_endpoint {
         entries.push(new_entry.clone());
@@ -118,15 +119,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn new_endpoint_is_in_slow_start_whatever_the_wall_clock_is() {
+async fn new_endpoint_is_in_slow_start_regardless_of_the_wall_clock() {
     for new_endpoint in [NewEndpoint::Published, NewEndpoint::Cached] {
-        let usual = requests_at_new_endpoint(0, new_endpoint).await;
+        let baseline = requests_at_new_endpoint(0, new_endpoint).await;
         for skew_ms in [HOUR_MS, 10_000, -HOUR_MS] {
             let count = requests_at_new_endpoint(skew_ms, new_endpoint).await;
 
-            println!("{new_endpoint:?}, clock skew {skew_ms} ms: {count} of 400, {usual} without skew");
-            // Of 400, 50 are an even part; a fifth of the capacity is a fifth of that, less during slow
-            // start.
+            println!("{new_endpoint:?}, clock skew {skew_ms} ms: {count} of 400, {baseline} without skew");
+            // An equal share of 400 is 50. At a fifth of its capacity an endpoint gets a fifth of that, and
+            // less during slow start.
             assert!(count <= 25, "{new_endpoint:?}, clock skew {skew_ms} ms: {count} of 400");
         }
     }
