--- a/gateway/tests/client_disconnect.rs
+++ b/gateway/tests/client_disconnect.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect while their request waits for something: however they disconnect, and also where
-//! what the request waits for comes in the same turn of the event loop, nothing more is done for it.
+//! Clients that disconnect while their request is waiting. The request is dropped however the client
+//! disconnects, also if what the request waits for arrives in the same iteration of the event loop.
 
 mod common;
 
@@ -17,16 +17,16 @@
 /// A deadline that no request of these tests reaches.
 const LONG_DEADLINE_MS: u64 = 500_000;
 const LONG_TIMEOUT_MS: u64 = 200_000;
-/// Requests of a flood: more than the gateway reads at once.
-const FLOOD_REQUESTS: usize = 300;
+/// The number of pipelined requests that one client sends: more than the gateway reads at once.
+const PIPELINED_REQUESTS: usize = 300;
 
-fn patient_options(endpoint: &TestEndpoint) -> GatewayOptions {
+fn options_with_long_timeouts(endpoint: &TestEndpoint) -> GatewayOptions {
     GatewayOptions::with_endpoint(endpoint.address).with_long_timeouts(LONG_TIMEOUT_MS)
 }
 
-/// Waits until the gateway knows an endpoint list. It was published while the gateway was suspended, whose
-/// request may have timed out, so it is published again where needed.
-async fn wait_until_list_known(env: &TestEnvironment, version: u64, list: &str) {
+/// Waits until the gateway has received an endpoint list that was published while it was suspended. Its poll
+/// may have timed out meanwhile, so the list is published again if necessary.
+async fn wait_until_list_received(env: &TestEnvironment, version: u64, list: &str) {
     loop {
         env.discovery.wait_until_processed().await;
         if env.discovery.last_request_line().contains(&format!("after={version}&")) {
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn socket_detects_that_its_peer_has_disconnected() {
+async fn socket_detects_a_disconnect_of_its_peer() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     for disconnect in DisconnectCase::all() {
         let address = listener.local_addr().expect("an address");
@@ -51,10 +51,10 @@
         peer.write(&disconnect.trailing).await;
         assert!(!socket.is_closed_by_peer().await, "{}", disconnect.describe());
 
-        let _reading = disconnect.disconnect_and_wait(peer).await;
+        let _half_closed = disconnect.disconnect_and_wait(peer).await;
 
         assert!(socket.is_closed_by_peer().await, "{}", disconnect.describe());
-        within_timeout("the same from the event loop", socket.closed_by_peer()).await;
+        within_timeout("the event loop's report of the disconnect", socket.closed_by_peer()).await;
     }
 }
 
@@ -62,7 +62,7 @@
 async fn attempt_in_flight_is_cancelled_when_its_client_disconnects() {
     let script = [ScriptedResponse::NoResponse, ScriptedResponse::ok("x")];
     let endpoint = TestEndpoint::start(&script).await;
-    let env = TestEnvironment::start(&patient_options(&endpoint), CounterBehavior::Add).await;
+    let env = TestEnvironment::start(&options_with_long_timeouts(&endpoint), CounterBehavior::Add).await;
     for disconnect in DisconnectCase::all() {
         let closed = endpoint.connections_closed();
         endpoint.set_script(&script);
@@ -71,7 +71,7 @@
         disconnect.send_request(&mut client, &abandoned_request()).await;
         wait_until("the attempt", || endpoint.request_count() == attempts + 1).await;
 
-        let _reading = disconnect.disconnect(client);
+        let _half_closed = disconnect.disconnect(client);
 
         wait_until("the end of the attempt's connection", || endpoint.connections_closed() > closed).await;
         assert_eq!(env.gateway.request(READINESS_REQUEST).await.status(), 200);
@@ -83,13 +83,15 @@
 async fn request_waiting_for_quota_is_not_forwarded_after_its_client_disconnects() {
     for disconnect in DisconnectCase::all() {
         let endpoint = TestEndpoint::ok("x").await;
-        let env = TestEnvironment::start(&patient_options(&endpoint), CounterBehavior::AddAndHoldReply).await;
+        let env =
+            TestEnvironment::start(&options_with_long_timeouts(&endpoint), CounterBehavior::AddAndHoldReply)
+                .await;
         let mut client = env.gateway.client().await;
         disconnect.send_request(&mut client, &abandoned_request()).await;
         wait_until("the counter call", || env.counter.call_count() > 0).await;
 
         let release = async { env.counter.set_behavior(CounterBehavior::Add) };
-        let _reading = disconnect.disconnect_while_suspended(&env.gateway, client, release).await;
+        let _half_closed = disconnect.disconnect_while_suspended(&env.gateway, client, release).await;
 
         assert_next_request_is_served(&env).await;
         assert_eq!(endpoint.requests_containing(ABANDONED_PATH), 0, "{}", disconnect.describe());
@@ -112,13 +114,13 @@
         assert_eq!(env.gateway.request(READINESS_REQUEST).await.status(), 200);
 
         let release = async { env.discovery.publish(added.clone()) };
-        let _reading = disconnect.disconnect_while_suspended(&env.gateway, client, release).await;
-        wait_until_list_known(&env, added_version, &added).await;
+        let _half_closed = disconnect.disconnect_while_suspended(&env.gateway, client, release).await;
+        wait_until_list_received(&env, added_version, &added).await;
 
         assert_next_request_is_served(&env).await;
         assert_eq!(endpoint.requests_containing(ABANDONED_PATH), 0, "{}", disconnect.describe());
         env.discovery.publish(removed.clone());
-        wait_until_list_known(&env, removed_version, &removed).await;
+        wait_until_list_received(&env, removed_version, &removed).await;
     }
 }
 
@@ -126,25 +128,25 @@
 async fn request_waiting_for_its_retry_is_not_forwarded_after_its_client_disconnects() {
     let rejection = "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
     for disconnect in DisconnectCase::all() {
-        let full = TestEndpoint::responding(ScriptedResponse::Write(rejection.into())).await;
+        let rejecting = TestEndpoint::responding(ScriptedResponse::Write(rejection.into())).await;
         let other = TestEndpoint::ok("x").await;
-        // An endpoint that has rejected a request is not used again for minutes.
-        let options = GatewayOptions { slow_start_ms: 10_000_000, ..patient_options(&full) };
+        // The ejection of the endpoint that rejected the request lasts for minutes.
+        let options = GatewayOptions { slow_start_ms: 10_000_000, ..options_with_long_timeouts(&rejecting) };
         let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
         let mut client = env.gateway.client().await;
         disconnect.send_request(&mut client, &abandoned_request()).await;
-        wait_until("the attempt", || full.request_count() == 1).await;
+        wait_until("the attempt", || rejecting.request_count() == 1).await;
         env.discovery.wait_until_processed().await;
         assert_eq!(env.gateway.request(READINESS_REQUEST).await.status(), 200);
 
         let list = delta(2, &[in_service("other", other.address)]);
         let release = async { env.discovery.publish(list.clone()) };
-        let _reading = disconnect.disconnect_while_suspended(&env.gateway, client, release).await;
-        wait_until_list_known(&env, 2, &list).await;
+        let _half_closed = disconnect.disconnect_while_suspended(&env.gateway, client, release).await;
+        wait_until_list_received(&env, 2, &list).await;
 
         assert_next_request_is_served(&env).await;
         assert_eq!(
-            (full.request_count(), other.requests_containing(ABANDONED_PATH)),
+            (rejecting.request_count(), other.requests_containing(ABANDONED_PATH)),
             (1, 0),
             "{}",
             disconnect.describe()
@@ -152,15 +154,15 @@
     }
 }
 
-/// A client disconnects in the turn of the event loop in which the connection is established that its request
-/// waits for.
+/// Runs a request that waits for a connection to its endpoint, and whose client disconnects in the iteration
+/// of the event loop in which the connection is established.
 async fn disconnect_as_the_connection_is_established(disconnect: DisconnectCase) {
     let backlog = FullBacklog::start().await;
     let address = backlog.address;
     let options = GatewayOptions::with_endpoint(address).with_long_timeouts(LONG_TIMEOUT_MS);
     let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
     let mut client = env.gateway.client().await;
-    // A tenant without a quota needs no call to the counter.
+    // A plan without a quota needs no counter call.
     let request = abandoned_request()
         .replace("Api-Plan: p", "Api-Plan: free")
         .replace("00000000b4d65521", "0000000000000001");
@@ -168,14 +170,14 @@
     wait_for_connection_attempt(address).await;
 
     env.gateway.suspend();
-    let late = backlog.accept_all();
-    late.wait_until_opened(1).await;
-    let _reading = disconnect.disconnect_and_wait(client).await;
+    let late_connections = backlog.accept_all();
+    late_connections.wait_until_opened(1).await;
+    let _half_closed = disconnect.disconnect_and_wait(client).await;
     env.gateway.resume();
 
     assert_eq!(env.gateway.request(READINESS_REQUEST).await.status(), 200);
-    late.wait_until_all_closed().await;
-    assert_eq!(late.request_lines(), Vec::<String>::new(), "{}", disconnect.describe());
+    late_connections.wait_until_all_closed().await;
+    assert_eq!(late_connections.request_lines(), Vec::<String>::new(), "{}", disconnect.describe());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -186,7 +188,7 @@
         .collect();
 
     for run in runs {
-        run.await.expect("passed");
+        run.await.expect("no failed assertion");
     }
 }
 
@@ -213,7 +215,8 @@
     let mut client = env.gateway.client().await;
     client.write(&non_idempotent_request(50_000)).await;
     wait_until("the attempt", || endpoint.request_count() == 1).await;
-    // Longer than a request waits for an endpoint: an ejection for as long again would fail the next request.
+    // An ejection for as long as this attempt would outlast the next request's wait for an endpoint and fail
+    // it.
     sleep_ms(1000).await;
 
     drop(client);
@@ -223,62 +226,62 @@
     assert_eq!((response.status(), endpoint.request_count()), (200, 2));
 }
 
-/// Writes many requests at once to a suspended gateway, and disconnects.
-async fn flood(gateway: &GatewayProcess, kind: DisconnectKind) -> Option<TestClient> {
+/// Pipelines requests to a suspended gateway and disconnects.
+async fn pipeline_and_disconnect(gateway: &GatewayProcess, kind: DisconnectKind) -> Option<TestClient> {
     let mut client = gateway.client().await;
-    client.write(&(0..FLOOD_REQUESTS).map(|_| abandoned_request()).collect::<String>()).await;
+    client.write(&(0..PIPELINED_REQUESTS).map(|_| abandoned_request()).collect::<String>()).await;
     disconnect_and_wait(client, kind).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn floods_of_disconnected_clients_are_not_forwarded_and_leave_no_memory_behind() {
+async fn pipelined_requests_of_disconnected_clients_are_not_forwarded_and_leak_no_memory() {
     let endpoint = TestEndpoint::ok("x").await;
-    let env = TestEnvironment::start(&patient_options(&endpoint), CounterBehavior::Add).await;
-    let usual = || non_idempotent_request(LONG_DEADLINE_MS);
-    assert_eq!(env.gateway.request(&usual()).await.status(), 200);
+    let env = TestEnvironment::start(&options_with_long_timeouts(&endpoint), CounterBehavior::Add).await;
+    let connected_client_request = || non_idempotent_request(LONG_DEADLINE_MS);
+    assert_eq!(env.gateway.request(&connected_client_request()).await.status(), 200);
 
     let mut memory_after_round = Vec::new();
     for _ in 0..5 {
-        let mut reading = Vec::new();
+        let mut half_closed = Vec::new();
         env.gateway.suspend();
         for kind in DISCONNECT_KINDS.into_iter().cycle().take(9) {
-            reading.push(flood(&env.gateway, kind).await);
+            half_closed.push(pipeline_and_disconnect(&env.gateway, kind).await);
         }
         env.gateway.resume();
-        // Other clients are served meanwhile.
-        assert_eq!(env.gateway.request(&usual()).await.status(), 200);
-        drop(reading);
+        // Connected clients are served while the disconnects are processed.
+        assert_eq!(env.gateway.request(&connected_client_request()).await.status(), 200);
+        drop(half_closed);
         wait_until("the end of their connections", || env.gateway.open_descriptors() <= 20).await;
         memory_after_round.push(env.gateway.resident_memory_kib());
     }
 
     assert_eq!((endpoint.requests_containing(ABANDONED_PATH), endpoint.request_count()), (0, 6));
-    // 1.9 MB came after the first round.
+    // Memory has been seen to grow by 1.9 MB after the first round.
     assert!(memory_after_round[4] < memory_after_round[0] + 1000, "{memory_after_round:?} KiB");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn client_that_retries_at_once_after_each_rejection_does_not_block_others() {
     let endpoint = TestEndpoint::ok("x").await;
-    let options = GatewayOptions { refill_rate: 0.01, burst: 1.0, ..patient_options(&endpoint) };
+    let options = GatewayOptions { refill_rate: 0.01, burst: 1.0, ..options_with_long_timeouts(&endpoint) };
     let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
-    let mut eager = env.gateway.client().await;
+    let mut retrying_client = env.gateway.client().await;
     let mut statuses = Vec::new();
 
     for n in 0..300 {
-        statuses.push(eager.request(&abandoned_request()).await.status());
+        statuses.push(retrying_client.request(&abandoned_request()).await.status());
         if n % 30 == 0 {
-            let other = idempotent_request(LONG_DEADLINE_MS).replace("b4d65521", &format!("{n:08x}"));
-            assert_eq!(env.gateway.request(&other).await.status(), 200, "{n}");
+            let other_tenant = idempotent_request(LONG_DEADLINE_MS).replace("b4d65521", &format!("{n:08x}"));
+            assert_eq!(env.gateway.request(&other_tenant).await.status(), 200, "{n}");
         }
     }
-    // Pipelined requests are answered one by one, in their order, for as long as the client is connected.
-    eager.write(&(0..FLOOD_REQUESTS).map(|_| abandoned_request()).collect::<String>()).await;
-    for _ in 0..FLOOD_REQUESTS {
-        statuses.push(eager.read_response().await.status());
+    // The pipelined requests of a connected client are all answered, one at a time and in order.
+    retrying_client.write(&(0..PIPELINED_REQUESTS).map(|_| abandoned_request()).collect::<String>()).await;
+    for _ in 0..PIPELINED_REQUESTS {
+        statuses.push(retrying_client.read_response().await.status());
     }
 
-    let count = |wanted: u16| statuses.iter().filter(|status| **status == wanted).count();
+    let count = |status: u16| statuses.iter().filter(|s| **s == status).count();
     assert_eq!(count(200), 1);
     assert_eq!((count(429), endpoint.requests_containing(ABANDONED_PATH)), (599, 1));
 }
--- a/gateway/tests/client_requests.rs
+++ b/gateway/tests/client_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: which are valid, and how they are forwarded and answered.
+//! Client requests: validation, forwarding to an endpoint, and the response.
 
 mod common;
 
@@ -19,9 +19,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn request_and_response_are_forwarded_unchanged() {
-    let response = "HTTP/1.1 200 OK\r\nX-Note: n\r\nContent-Type: a/b\r\nTransfer-Encoding: chunked\r\n\r\n\
-                    3\r\nab\n\r\n2\r\ncd\r\n0\r\n\r\n";
-    let endpoint = TestEndpoint::responding(ScriptedResponse::Write(response.into())).await;
+    let chunked = "HTTP/1.1 200 OK\r\nX-Note: n\r\nContent-Type: a/b\r\nTransfer-Encoding: chunked\r\n\r\n\
+                   3\r\nab\n\r\n2\r\ncd\r\n0\r\n\r\n";
+    let endpoint = TestEndpoint::responding(ScriptedResponse::Write(chunked.into())).await;
     let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
     let mut client = env.gateway.client().await;
     let request = RequestBuilder::new(Class::WithIdempotencyKey, DEADLINE_MS)
@@ -46,7 +46,7 @@
     assert!((1..DEADLINE_MS).contains(&remaining_ms), "{remaining_ms}");
 }
 
-/// A text in place of another in a valid request.
+/// A substring of a valid request, and the text that replaces it.
 struct Replacement {
     old: &'static str,
     new: &'static str,
@@ -56,7 +56,7 @@
     Replacement { old, new }
 }
 
-/// What makes an idempotent request invalid.
+/// Replacements that each make an idempotent request invalid.
 const INVALID_REPLACEMENTS: [Replacement; 27] = [
     replace("/read/", "/unknown/"),
     replace("GET", "POST"),
@@ -87,16 +87,18 @@
     replace("first=0", "first=x"),
 ];
 
-/// All invalid requests with the status of their responses.
+/// Returns invalid requests, each with the expected status of its response.
 fn invalid_requests() -> Vec<(u16, String)> {
-    let good = idempotent_request(DEADLINE_MS);
-    let post = request_without_body();
+    let valid_get = idempotent_request(DEADLINE_MS);
+    let valid_post = request_without_body();
     let builder = |class| RequestBuilder::new(class, DEADLINE_MS);
-    let mut invalid: Vec<_> =
-        INVALID_REPLACEMENTS.iter().map(|Replacement { old, new }| (400, good.replace(old, new))).collect();
+    let mut invalid: Vec<_> = INVALID_REPLACEMENTS
+        .iter()
+        .map(|Replacement { old, new }| (400, valid_get.replace(old, new)))
+        .collect();
     invalid.extend([
-        (404, good.replace("/read/a%20b?c=d", "/")),
-        (400, post.replace("POST", "GET")),
+        (404, valid_get.replace("/read/a%20b?c=d", "/")),
+        (400, valid_post.replace("POST", "GET")),
         (400, builder(Class::WithIdempotencyKey).build().replace("Idempotency-Key", "X-Key")),
         (400, builder(Class::NonIdempotent).header_lines("Idempotency-Key: k\r\n").build()),
         (400, builder(Class::WithIdempotencyKey).header_lines("Idempotency-Key: again\r\n").build()),
@@ -105,8 +107,8 @@
         (400, "what is this\r\n\r\n".into()),
         (400, "GET /read HTTP/1.1\r\n X-Long: yyyyyyyy\r\n\r\n".into()),
         (431, format!("GET /read HTTP/1.1\r\nX-Long: {}\r\n\r\n", "y".repeat(20_000))),
-        (400, post.replace("Content-Length: 0", "Content-Length: -1")),
-        (400, post.replace("Content-Length: 0", "Content-Length: x")),
+        (400, valid_post.replace("Content-Length: 0", "Content-Length: -1")),
+        (400, valid_post.replace("Content-Length: 0", "Content-Length: x")),
     ]);
     invalid
 }
@@ -127,22 +129,24 @@
     assert_eq!(endpoint.request_count(), 1);
 }
 
-/// An invalid request and what the response to it has to be.
+/// An invalid request and the expected status and body of its response.
 struct InvalidRequest {
     text: String,
     status: u16,
     body: &'static str,
 }
 
-fn invalid(text: String, status: u16, body: &'static str) -> InvalidRequest {
+fn invalid_request(text: String, status: u16, body: &'static str) -> InvalidRequest {
     InvalidRequest { text, status, body }
 }
 
-/// Requests with an invalid header, and the status and body of the response.
+/// Returns requests with an invalid header.
 fn requests_with_an_invalid_header() -> Vec<InvalidRequest> {
-    let replaced = |old, new, body| invalid(idempotent_request(DEADLINE_MS).replace(old, new), 400, body);
+    let with_replacement =
+        |old, new, body| invalid_request(idempotent_request(DEADLINE_MS).replace(old, new), 400, body);
     let builder = |class| RequestBuilder::new(class, DEADLINE_MS);
-    let with_line = |class, line, body| invalid(builder(class).header_lines(line).build(), 400, body);
+    let with_header_line =
+        |class, line, body| invalid_request(builder(class).header_lines(line).build(), 400, body);
     let without_key = builder(Class::WithIdempotencyKey).build().replace("Idempotency-Key", "X-Key");
     let id = "invalid req-id, expected 1 to 64 letters, digits, '-', '_' or '.'";
     let tenant = "invalid api-customer, expected 16 hexadecimal digits of a number below 2^33";
@@ -150,20 +154,28 @@
     let no_key = "invalid idempotency-key, expected none for this class";
     let two_keys = "idempotency-key is given more than once, expected one value";
     vec![
-        replaced("Req-Id: ", "Req-Id: /", id),
-        replaced("Plan: p", "Plan: q", "invalid api-plan, expected a plan of the settings"),
-        replaced("00000000b4d65521", "b4d65521", tenant),
-        replaced("Ms: 900", "Ms: 0", "invalid req-deadline-ms, expected 1 to 600000, whole milliseconds"),
-        replaced("first=0", "first=x", "invalid api-terms, expected the form units=2,spread=3,first=1"),
-        replaced("first=0", "first=1", terms),
-        with_line(Class::Idempotent, "Req-Retry: 2\r\n", "invalid req-retry, expected 0 or 1"),
-        with_line(Class::NonIdempotent, "Idempotency-Key: k\r\n", no_key),
-        with_line(Class::WithIdempotencyKey, "Idempotency-Key: again\r\n", two_keys),
-        invalid(without_key, 400, "invalid idempotency-key, expected a key for this class"),
+        with_replacement("Req-Id: ", "Req-Id: /", id),
+        with_replacement("Plan: p", "Plan: q", "invalid api-plan, expected a plan of the settings"),
+        with_replacement("00000000b4d65521", "b4d65521", tenant),
+        with_replacement(
+            "Ms: 900",
+            "Ms: 0",
+            "invalid req-deadline-ms, expected 1 to 600000, whole milliseconds",
+        ),
+        with_replacement(
+            "first=0",
+            "first=x",
+            "invalid api-terms, expected the form units=2,spread=3,first=1",
+        ),
+        with_replacement("first=0", "first=1", terms),
+        with_header_line(Class::Idempotent, "Req-Retry: 2\r\n", "invalid req-retry, expected 0 or 1"),
+        with_header_line(Class::NonIdempotent, "Idempotency-Key: k\r\n", no_key),
+        with_header_line(Class::WithIdempotencyKey, "Idempotency-Key: again\r\n", two_keys),
+        invalid_request(without_key, 400, "invalid idempotency-key, expected a key for this class"),
     ]
 }
 
-/// Requests whose path, method or body is invalid, and the status and body of the response.
+/// Returns requests whose path, method or body is invalid.
 fn requests_with_an_invalid_path_method_or_body() -> Vec<InvalidRequest> {
     let get = || idempotent_request(DEADLINE_MS);
     let post = request_without_body;
@@ -175,15 +187,15 @@
     let unreadable = "the body cannot be read, expected valid chunks or as many bytes as in content-length";
     let ambiguous = "invalid transfer-encoding, expected chunked alone and no content-length";
     vec![
-        invalid(get().replace("/read/a%20b?c=d", "/"), 404, no_path),
-        invalid(get().replace("/read/", "/unknown/"), 400, class),
-        invalid(get().replace("GET", "POST"), 400, "wrong method, expected GET"),
-        invalid(post().replace("POST", "GET"), 400, "wrong method, expected POST"),
-        invalid(READINESS_REQUEST.replace("GET", "POST"), 400, "wrong method, expected GET or HEAD"),
-        invalid(get_with_body, 400, "unexpected body, expected none with GET"),
-        invalid(too_large, 413, "the body is too large, expected at most 65536 bytes"),
-        invalid(chunked() + "no chunk\r\n", 400, unreadable),
-        invalid(chunked().replace("chunked", "gzip, chunked"), 400, ambiguous),
+        invalid_request(get().replace("/read/a%20b?c=d", "/"), 404, no_path),
+        invalid_request(get().replace("/read/", "/unknown/"), 400, class),
+        invalid_request(get().replace("GET", "POST"), 400, "wrong method, expected GET"),
+        invalid_request(post().replace("POST", "GET"), 400, "wrong method, expected POST"),
+        invalid_request(READINESS_REQUEST.replace("GET", "POST"), 400, "wrong method, expected GET or HEAD"),
+        invalid_request(get_with_body, 400, "unexpected body, expected none with GET"),
+        invalid_request(too_large, 413, "the body is too large, expected at most 65536 bytes"),
+        invalid_request(chunked() + "no chunk\r\n", 400, unreadable),
+        invalid_request(chunked().replace("chunked", "gzip, chunked"), 400, ambiguous),
     ]
 }
 
@@ -237,8 +249,9 @@
         assert_eq!(response.status(), 504, "{class:?}");
         client.expect_idle().await;
         assert_eq!(endpoint.request_count(), attempts + 1, "{class:?}");
-        wait_until("the attempt's end", || endpoint.connections_closed() == closed + 1).await;
-        // An endpoint that has not responded is ejected for as long as that took.
+        wait_until("the end of the attempt's connection", || endpoint.connections_closed() == closed + 1)
+            .await;
+        // An endpoint that did not respond is ejected for as long as the attempt took.
         sleep_ms(900).await;
     }
 }
@@ -247,18 +260,18 @@
 async fn request_with_both_content_length_and_transfer_encoding_is_rejected() {
     let endpoint = TestEndpoint::ok("x").await;
     let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
-    let smuggled = request_without_body();
+    let smuggled_request = request_without_body();
     let length = "Content-Length: 5\r\n";
     let encoding = "Transfer-Encoding: chunked\r\n";
     let with_headers = |lines: &str| request_without_body().replace("Content-Length: 0\r\n", lines);
 
-    // The HTTP library forgets a length that comes after the encoding.
-    for both in [[length, encoding], [encoding, length], [encoding, "content-LENGTH: 5\r\n"]] {
-        let text = with_headers(&both.concat()) + "0\r\n\r\n" + &smuggled;
+    // The HTTP library drops a Content-Length that follows a Transfer-Encoding.
+    for framing_headers in [[length, encoding], [encoding, length], [encoding, "content-LENGTH: 5\r\n"]] {
+        let text = with_headers(&framing_headers.concat()) + "0\r\n\r\n" + &smuggled_request;
         let mut client = env.gateway.client().await;
         assert_eq!(client.request(&text).await.status(), 400, "{text}");
         client.expect_close().await;
-        // The same as the second request of a connection, after a response or pipelined.
+        // The same text as the second request on a connection, after the first response or pipelined.
         let mut client = env.gateway.client().await;
         assert_eq!(client.request(READINESS_REQUEST).await.status(), 200);
         assert_eq!(client.request(&text).await.status(), 400, "{text}");
@@ -293,38 +306,38 @@
     assert_eq!(client.read_response().await.status(), 200);
     assert_eq!(endpoint.request_count(), 1);
 
-    // Once the request is answered its id may be used again.
+    // The id may be reused once its request has been answered.
     assert_eq!(client.request(&text).await.status(), 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn connections_without_a_complete_request_are_closed_however_many_bytes_come() {
+async fn connection_without_a_complete_request_in_time_is_closed_even_if_bytes_keep_arriving() {
     let env = TestEnvironment::with_endpoints(&[]).await;
     let incomplete_body = request_without_body().replace("Content-Length: 0", "Content-Length: 60000");
 
     env.gateway.client().await.expect_close().await;
-    for start in ["GET /read HTTP/1.1\r\nX-Slow: ", incomplete_body.as_str()] {
+    for incomplete_request in ["GET /read HTTP/1.1\r\nX-Slow: ", incomplete_body.as_str()] {
         let mut client = env.gateway.client().await;
-        client.write(start).await;
-        let mut sent = 0;
+        client.write(incomplete_request).await;
+        let mut sent_bytes = 0;
         within_timeout("the close", async {
             while client.stream.get_mut().write_all(b"y").await.is_ok() {
-                sent += 1;
+                sent_bytes += 1;
                 sleep_ms(50).await;
             }
         })
         .await;
-        assert!(sent < 1000, "closed after {sent} bytes");
+        assert!(sent_bytes < 1000, "closed only after {sent_bytes} bytes");
     }
 
-    // A connection that is idle after a response is closed as well.
+    // A connection that stays idle after a response is closed too.
     let mut client = env.gateway.client().await;
     assert_eq!(client.request(READINESS_REQUEST).await.status(), 200);
     client.expect_close().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn class_and_plan_names_may_need_escaping_on_the_wire() {
+async fn percent_encoded_class_names_and_non_ascii_plan_names_are_recognized() {
     let endpoint = TestEndpoint::ok("x").await;
     let mut options = GatewayOptions::with_endpoint(endpoint.address);
     options.config_edits = vec![
@@ -333,15 +346,15 @@
     ];
     let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
     let mut client = env.gateway.client().await;
-    let request = |path: &str| {
+    let request_with_path = |path: &str| {
         non_idempotent_request(DEADLINE_MS).replace("/order", path).replace("Plan: p", "Plan: groß & co")
     };
 
     for path in ["/ord%C3%A9r%2050%25%2fb", "/ord%c3%a9r%2050%25%2Fb"] {
-        assert_eq!(client.request(&request(path)).await.status(), 200);
+        assert_eq!(client.request(&request_with_path(path)).await.status(), 200);
     }
     for path in ["/order", "/ord%C3%A9r%2050%25", "/ord%C3%A9r%2050%2fb", "/ord%C3%A9r%2050%25/b"] {
-        assert_eq!(env.gateway.request(&request(path)).await.status(), 400, "{path}");
+        assert_eq!(env.gateway.request(&request_with_path(path)).await.status(), 400, "{path}");
     }
 
     let forwarded = endpoint.requests();
@@ -351,11 +364,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn rejection_has_no_retry_after_where_the_settings_forbid_it() {
+async fn rejection_has_no_retry_after_if_the_settings_disable_it() {
     let endpoint = TestEndpoint::ok("x").await;
     let mut options =
         GatewayOptions { burst: 1.0, refill_rate: 0.01, ..GatewayOptions::with_endpoint(endpoint.address) };
-    for (permission, expected) in
+    for (permission, expects_retry_after) in
         [("", true), (r#","retry-after":true"#, true), (r#","retry-after":false"#, false)]
     {
         let with_permission = format!(r#""most-tries":6{permission}"#);
@@ -367,6 +380,6 @@
         let response = client.request(&non_idempotent_request(DEADLINE_MS)).await;
 
         let has_retry_after = response.headers.contains_key("retry-after");
-        assert_eq!((response.status(), has_retry_after), (429, expected), "{permission}");
+        assert_eq!((response.status(), has_retry_after), (429, expects_retry_after), "{permission}");
     }
 }
