--- a/gateway/tests/connection_limit.rs
+++ b/gateway/tests/connection_limit.rs
@@ -1,4 +1,4 @@
-//! The limits of connections and descriptors: which clients are evicted, and what stays available for others.
+//! The limits on connections and descriptors: which clients are evicted, and which capacity stays reserved.
 
 mod common;
 
@@ -18,15 +18,17 @@
 /// A deadline that no request of these tests reaches.
 const LONGEST_DEADLINE_MS: u64 = 500_000;
 /// Leaves 11 connections for clients.
-const FEW_SOCKETS: usize = 52;
+const SOCKETS_FOR_11_CLIENTS: usize = 52;
 /// Leaves 33 connections for clients and 27 for endpoints.
-const SOME_SOCKETS: usize = 92;
+const SOCKETS_FOR_33_CLIENTS: usize = 92;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn idle_clients_are_evicted_for_new_ones_at_the_connection_limit() {
     let endpoint = TestEndpoint::responding(ScriptedResponse::ok_after(1500, "x")).await;
-    let options =
-        GatewayOptions { max_sockets: FEW_SOCKETS, ..GatewayOptions::with_endpoint(endpoint.address) };
+    let options = GatewayOptions {
+        max_sockets: SOCKETS_FOR_11_CLIENTS,
+        ..GatewayOptions::with_endpoint(endpoint.address)
+    };
     let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
     let mut busy = env.gateway.client().await;
     busy.write(&idempotent_request(LONG_DEADLINE_MS)).await;
@@ -39,16 +41,18 @@
         clients.push(client);
     }
 
-    // The client that was busy all the time has not been evicted.
+    // A client with a request in progress is not evicted.
     assert_eq!(busy.read_response().await.status(), 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn idle_clients_are_evicted_before_the_connection_limit_is_reached() {
-    // The attempt ends before the time limit for any client's next request.
+    // The attempt ends before any idle client reaches its time limit for the next request.
     let endpoint = TestEndpoint::responding(ScriptedResponse::ok_after(2000, "x")).await;
-    let options =
-        GatewayOptions { max_sockets: SOME_SOCKETS, ..GatewayOptions::with_endpoint(endpoint.address) };
+    let options = GatewayOptions {
+        max_sockets: SOCKETS_FOR_33_CLIENTS,
+        ..GatewayOptions::with_endpoint(endpoint.address)
+    };
     let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
     let mut busy = env.gateway.client().await;
     busy.write(&idempotent_request(LONG_DEADLINE_MS)).await;
@@ -64,14 +68,14 @@
     tokio::select! {
         biased;
         () = idle[0].expect_close() => {}
-        _ = busy.read_response() => panic!("the client idle for longest was kept"),
+        _ = busy.read_response() => panic!("the client that was idle for longest was not evicted"),
     }
     assert_eq!(idle[23].request(READINESS_REQUEST).await.status(), 200);
     assert_eq!(busy.read_response().await.status(), 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn new_client_is_not_evicted_before_its_first_request_while_busy_clients_hold_half_of_the_limit() {
+async fn new_client_is_not_evicted_before_its_first_request_while_busy_clients_use_half_of_the_limit() {
     let mut endpoints = Vec::new();
     for _ in 0..6 {
         endpoints.push(TestEndpoint::responding(ScriptedResponse::NoResponse).await);
@@ -80,7 +84,8 @@
         .iter()
         .map(|endpoint| in_service(&endpoint.address.to_string(), endpoint.address))
         .collect();
-    let options = GatewayOptions { max_sockets: SOME_SOCKETS, ..GatewayOptions::with_entries(&entries) };
+    let options =
+        GatewayOptions { max_sockets: SOCKETS_FOR_33_CLIENTS, ..GatewayOptions::with_entries(&entries) };
     let env = TestEnvironment::start(&options.with_long_timeouts(400_000), CounterBehavior::Add).await;
     let mut busy = Vec::new();
     for _ in 0..18 {
@@ -95,15 +100,17 @@
         let mut new_client = env.gateway.client().await;
         sleep_ms(delay_ms).await;
         let response = new_client.request(READINESS_REQUEST).await;
-        assert_eq!(response.status(), 200, "{delay_ms} ms after it connected");
+        assert_eq!(response.status(), 200, "request {delay_ms} ms after connecting");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn clients_without_a_complete_request_do_not_block_others() {
     let endpoint = TestEndpoint::ok("x").await;
-    let options =
-        GatewayOptions { max_sockets: FEW_SOCKETS, ..GatewayOptions::with_endpoint(endpoint.address) };
+    let options = GatewayOptions {
+        max_sockets: SOCKETS_FOR_11_CLIENTS,
+        ..GatewayOptions::with_endpoint(endpoint.address)
+    };
     let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
     let mut without_request = Vec::new();
     for n in 0..40 {
@@ -116,14 +123,14 @@
 
     let mut client = env.gateway.client().await;
     client.write(&idempotent_request(5000)).await;
-    // Far less than the time limit for headers.
+    // Far less than the time limit for a complete request.
     let response = tokio::time::timeout(Duration::from_secs(30), client.read_response()).await;
 
     assert_eq!(response.expect("a response in time").status(), 200);
 }
 
-/// Sends a request on new connections until one is not closed unread: a response has come, or `is_admitted`
-/// holds.
+/// Sends a request, each time on a new connection, until the gateway has read it: a response arrives, or
+/// `is_admitted` returns true. A connection that is evicted before that is replaced.
 async fn request_until_admitted(
     gateway: &GatewayProcess, text: &str, is_admitted: impl Fn() -> bool,
 ) -> TestClient {
@@ -132,7 +139,7 @@
         let _ = client.stream.write_all(text.as_bytes()).await;
         tokio::select! {
             biased;
-            () = wait_until("what a request leads to", &is_admitted) => return client,
+            () = wait_until("the admission of a request", &is_admitted) => return client,
             bytes = client.stream.fill_buf() => {
                 if bytes.is_ok_and(|b| !b.is_empty()) {
                     return client;
@@ -142,34 +149,34 @@
     }
 }
 
-/// Keeps 60 clients connecting, each again at once when it is evicted; waits until the gateway is full.
+/// Starts 60 clients that reconnect whenever they are evicted, and waits until the gateway is full.
 async fn fill_with_clients(gateway: SocketAddr) {
-    let closed = Arc::<AtomicU32>::default();
+    let evictions = Arc::<AtomicU32>::default();
     for _ in 0..60 {
-        let closed = closed.clone();
+        let evictions = evictions.clone();
         tokio::spawn(async move {
             loop {
                 if let Ok(mut stream) = TcpStream::connect(gateway).await {
                     let _ = stream.read_to_end(&mut Vec::new()).await;
-                    closed.fetch_add(1, SeqCst);
+                    evictions.fetch_add(1, SeqCst);
                 }
             }
         });
     }
-    wait_until("a full gateway", || closed.load(SeqCst) > 60).await;
+    wait_until("a full gateway", || evictions.load(SeqCst) > 60).await;
 }
 
 fn entries_of_22_endpoints(name: &str, address: SocketAddr) -> Vec<String> {
     (0..22).map(|n| in_service(&format!("{name}{n}"), address)).collect()
 }
 
-/// An idempotent request of one of many tenants.
+/// An idempotent request of the tenant with this number.
 fn request_of_tenant(number: u32) -> String {
     idempotent_request(60_000).replace("00000000b4d65521", &format!("{number:016x}"))
 }
 
-/// Sends requests of one tenant after another until the counter has been called and at least 5 have been
-/// served; returns the number of the next tenant.
+/// Sends one request for each of several tenants until the counter has been called and at least 5 requests
+/// have been served. Returns the number of the next tenant.
 async fn serve_until_counter_is_called(
     gateway: &GatewayProcess, counter: &TestCounter, first_tenant: u32,
 ) -> u32 {
@@ -181,18 +188,18 @@
             tenant += 1;
         }
     };
-    within_timeout("a call of the counter", requests).await;
+    within_timeout("a counter call", requests).await;
     tenant
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn clients_that_fill_the_descriptor_limit_leave_some_for_discovery_and_counter() {
+async fn clients_at_the_connection_limit_leave_descriptors_for_discovery_and_counter() {
     let unresponsive = TestEndpoint::responding(ScriptedResponse::NoResponse).await;
     let responsive = TestEndpoint::responding(ScriptedResponse::ok_after(20, "x")).await;
     let (discovery_port, counter_port) = (RefusingPort::bind(), RefusingPort::bind());
     let (first_discovery, first_counter) = (discovery_port.address, counter_port.address);
     let options = GatewayOptions {
-        max_sockets: SOME_SOCKETS,
+        max_sockets: SOCKETS_FOR_33_CLIENTS,
         ..GatewayOptions::with_entries(&entries_of_22_endpoints("a", unresponsive.address))
     };
     let options = options.with_long_timeouts(200_000);
@@ -209,9 +216,9 @@
     for round in 0..3 {
         discovery.publish(snapshot(7, &entries_of_22_endpoints("b", responsive.address)));
         discovery.wait_until_processed().await;
-        // The counter is called again once it has been unavailable for a while.
+        // A counter that was unavailable is called again only after a while.
         let tenant = serve_until_counter_is_called(&gateway, &counter, 100_000 * round).await;
-        // What is in flight at the counter is not answered before both services have moved.
+        // The call in flight is not answered before discovery and counter have moved to other addresses.
         counter.set_behavior(CounterBehavior::AddAndHoldReply);
         let calls = counter.call_count();
         let is_called = || counter.call_count() > calls;
--- a/gateway/tests/connection_pool.rs
+++ b/gateway/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections: which are kept, reused and evicted.
+//! The pool of idle connections: which of them are reused, evicted and dropped.
 
 use ryefront_gateway::endpoint::pool::Pool;
 use ryefront_policy::Name;
@@ -23,7 +23,7 @@
     }
 
     assert_eq!((pool.len(), pool.take(&c, min_idle)), (4, None));
-    // The newest has not been idle for long enough.
+    // The newest connection has not been idle for long enough.
     assert_eq!(pool.take(&a, Duration::from_millis(15)).map(|idle| idle.connection), Some(3));
     pool.evict();
     assert_eq!((pool.len(), pool.take(&a, min_idle)), (2, None));
