--- a/gateway/tests/config.rs
+++ b/gateway/tests/config.rs
@@ -1,48 +1,48 @@
-//! Parsing of the configuration.
+//! Parsing of the configuration, and its error messages.
 
 use ryefront_gateway::config::Config;
 use std::time::Duration;
 
-/// A configuration whose settings have these entries in `permissions` and, after others, in `extra`.
-fn parse(permissions: &str, extra: &str) -> Config {
+/// Parses a configuration whose settings have these entries in `permissions` and at the end of `extra`.
+fn parse_with(permissions: &str, extra: &str) -> Config {
     let text = format!(
         r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","counter":"127.0.0.1:8","seed":"1","settings":{{
         "fleet-size":1,"classes":[{{"name":"a","effect":"idempotent"}}],"permissions":{{{permissions}}},
         "extra":{{"has-counter":true{extra}}}}}}}"#
     );
-    Config::parse(&text, |_, file| file).expect("a usable configuration")
+    Config::parse(&text, |_, file| file).expect("a valid configuration")
 }
 
 #[test]
 fn absent_or_zero_timeouts_get_the_same_defaults_for_sockets_and_policy() {
     for (permissions, extra) in [("", ""), (r#""dial-timeout-ms":0"#, r#","count-limit-ms":0"#)] {
-        let config = parse(permissions, extra);
+        let config = parse_with(permissions, extra);
 
         assert_eq!(config.connect_timeout, Duration::from_millis(250));
         assert_eq!((config.settings.connect_timeout, config.settings.counter_timeout), (250.0, 50.0));
     }
 
-    let config = parse(r#""dial-timeout-ms":400"#, r#","count-limit-ms":30"#);
+    let config = parse_with(r#""dial-timeout-ms":400"#, r#","count-limit-ms":30"#);
 
     assert_eq!(config.connect_timeout, Duration::from_millis(400));
     assert_eq!((config.settings.connect_timeout, config.settings.counter_timeout), (400.0, 30.0));
 }
 
-/// A usable configuration in JSON.
-const USABLE: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","counter":"127.0.0.1:8","seed":"1",
+/// A valid configuration in JSON.
+const CONFIG: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","counter":"127.0.0.1:8","seed":"1",
 "known":{"seq":1,"whole":true,"hosts":[{"host":"b","dial":"127.0.0.1:7","health":"in_service"}]},"settings":{
 "fleet-size":1,"classes":[{"name":"a","effect":"idempotent"}],"extra":{"has-counter":true}}}"#;
 
-/// The error of the usable configuration with one part replaced by another.
+/// Returns the error about the valid configuration with `part` replaced.
 fn error_after_replacement(part: &str, replacement: &str) -> String {
-    assert!(USABLE.contains(part), "{part}");
-    let text = USABLE.replacen(part, replacement, 1);
+    assert!(CONFIG.contains(part), "{part}");
+    let text = CONFIG.replacen(part, replacement, 1);
     Config::parse(&text, |_, file| file).expect_err("an error").to_string()
 }
 
 #[test]
 fn error_about_an_address_names_its_key_the_value_and_the_valid_form() {
-    assert!(Config::parse(USABLE, |_, file| file).is_ok());
+    assert!(Config::parse(CONFIG, |_, file| file).is_ok());
 
     for (part, replacement, error) in [
         (r#""listen":"127.0.0.1:0","#, "", "listen (or NODE_LISTEN) is missing"),
@@ -62,7 +62,7 @@
 fn error_about_an_address_in_a_variable_names_the_variable() {
     let in_variable = |name: &str, file| if name == "NODE_LISTEN" { Some("8080".to_owned()) } else { file };
 
-    let error = Config::parse(USABLE, in_variable).expect_err("an error").to_string();
+    let error = Config::parse(CONFIG, in_variable).expect_err("an error").to_string();
 
     let expected = r#"listen (or NODE_LISTEN) is "8080", expected an address and port, as 127.0.0.1:8080"#;
     assert_eq!(error, expected);
@@ -82,7 +82,7 @@
 #[test]
 fn error_about_malformed_json_names_its_line_and_column_and_what_was_expected() {
     for (part, replacement, expected) in [
-        (USABLE, "", "malformed: EOF while parsing a value at line 1 column 0"),
+        (CONFIG, "", "malformed: EOF while parsing a value at line 1 column 0"),
         (r#"{"listen""#, r#"{listen"#, "malformed: key must be a string at line 1 column 2"),
         (r#""seed":"1","#, "", "malformed: missing field `seed` at line 3 column 92"),
         (
