--- a/gateway/tests/endpoint_list.rs
+++ b/gateway/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: parsing, and what the gateway does with each update.
+//! The endpoint list: parsing, and how the gateway applies updates.
 
 mod common;
 
@@ -15,11 +15,11 @@
 
 #[test]
 fn malformed_endpoint_list_is_rejected_completely() {
-    let at = "127.0.0.1:9".parse().expect("an address");
-    let good = snapshot(7, &[in_service("a", at), terminating("b", at)]);
-    let read = EndpointList::parse(good.as_bytes()).expect("a list");
-    assert_eq!((read.version, read.is_snapshot, read.endpoints.len()), (7, true, 2));
-    for (part, malformed) in [
+    let address = "127.0.0.1:9".parse().expect("an address");
+    let valid_list = snapshot(7, &[in_service("a", address), terminating("b", address)]);
+    let list = EndpointList::parse(valid_list.as_bytes()).expect("a list");
+    assert_eq!((list.version, list.is_snapshot, list.endpoints.len()), (7, true, 2));
+    for (part, replacement) in [
         (r#""seq":7"#, r#""seq":-7"#),
         (r#""seq":7"#, r#""seq":7.5"#),
         (r#""seq":7"#, r#""seq":99999999999999999999"#),
@@ -39,27 +39,27 @@
         ("]}", "]"),
         ("]}", "]}]"),
         ("]}", ",]}"),
-        (good.as_str(), ""),
-        (good.as_str(), "null"),
+        (valid_list.as_str(), ""),
+        (valid_list.as_str(), "null"),
     ] {
-        let text = good.replace(part, malformed);
-        assert_ne!(text, good);
+        let text = valid_list.replace(part, replacement);
+        assert_ne!(text, valid_list);
         assert!(EndpointList::parse(text.as_bytes()).is_err(), "{text}");
     }
 
-    let mut invalid_utf8 = good.into_bytes();
-    let name = invalid_utf8.iter().position(|b| *b == b'b').expect("a letter");
-    invalid_utf8[name] = 0xff;
+    let mut invalid_utf8 = valid_list.into_bytes();
+    let index = invalid_utf8.iter().position(|b| *b == b'b').expect("the byte in the list");
+    invalid_utf8[index] = 0xff;
 
     assert!(EndpointList::parse(&invalid_utf8).is_err());
 }
 
 #[test]
 fn error_about_an_endpoint_list_names_the_invalid_part_and_what_was_expected() {
-    let at = "127.0.0.1:9".parse().expect("an address");
-    let good = snapshot(7, &[in_service("a", at), in_service("b", at)]);
+    let address = "127.0.0.1:9".parse().expect("an address");
+    let valid_list = snapshot(7, &[in_service("a", address), in_service("b", address)]);
     for (part, replacement, expected) in [
-        (good.as_str(), "{", "malformed endpoint list: EOF while parsing an object at line 1 column 1"),
+        (valid_list.as_str(), "{", "malformed endpoint list: EOF while parsing an object at line 1 column 1"),
         (
             r#""seq":7"#,
             r#""seq":"7""#,
@@ -72,8 +72,8 @@
             r#"endpoint b: address "b.internal:9", expected an IP address and a port"#,
         ),
     ] {
-        let text = good.replace(part, replacement);
-        assert_ne!(text, good);
+        let text = valid_list.replace(part, replacement);
+        assert_ne!(text, valid_list);
 
         let error = EndpointList::parse(text.as_bytes()).expect_err("an error");
 
@@ -134,7 +134,10 @@
 async fn malformed_endpoint_lists_in_a_row_are_logged_once_also_after_other_faults() {
     let endpoint = TestEndpoint::ok("x").await;
     let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
-    wait_until("a fault", || env.gateway.count_log_lines("discovery: no response in time") == 1).await;
+    wait_until("a poll without a response", || {
+        env.gateway.count_log_lines("discovery: no response in time") == 1
+    })
+    .await;
 
     for text in ["{", r#"{"seq":3,"whole":true,"hosts":[{"host":"b","dial":"nowhere"}]}"#] {
         env.discovery.publish(text.into());
@@ -149,14 +152,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn oversized_endpoint_list_changes_nothing_and_the_last_of_two_entries_for_an_endpoint_counts() {
+async fn oversized_endpoint_list_changes_nothing_and_the_last_of_two_entries_for_an_endpoint_applies() {
     let old = TestEndpoint::ok("old").await;
     let new = TestEndpoint::ok("new").await;
     let options = GatewayOptions::with_entries(&[in_service("b0", old.address)]);
     let options = options.with_long_timeouts(LONG_TIMEOUT_MS);
     let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
 
-    // Of the length in its header, and valid JSON.
+    // Too large, but valid JSON and as long as its Content-Length says.
     env.discovery.publish(snapshot(2, &[]) + &" ".repeat(17 << 20));
     env.discovery.wait_until_processed().await;
 
@@ -181,7 +184,7 @@
     env.discovery.wait_until_processed().await;
     assert!(env.discovery.last_request_line().contains("after=41&"));
 
-    // The same version again changes nothing; a lower one comes from another discovery service.
+    // A repeated version changes nothing. A lower one comes from another discovery service.
     env.discovery.publish(delta(41, &[]));
     env.discovery.wait_until_processed().await;
     assert!(env.discovery.last_request_line().contains("after=41&"));
@@ -192,7 +195,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn unanswered_discovery_request_is_repeated_before_the_list_is_stale() {
+async fn unanswered_poll_is_repeated_before_the_list_is_stale() {
     let old = TestEndpoint::responding(ScriptedResponse::ok_after(6000, "old")).await;
     let new = TestEndpoint::ok("new").await;
     let env = TestEnvironment::with_endpoints(&[&old]).await;
@@ -202,8 +205,8 @@
 
     tokio::select! {
         biased;
-        () = wait_until("a second request", || env.discovery.request_count() > 1) => {}
-        _ = busy.read_response() => panic!("the unanswered request was waited for"),
+        () = wait_until("a second poll", || env.discovery.request_count() > 1) => {}
+        _ = busy.read_response() => panic!("no second poll within 6 s"),
     }
     env.discovery.publish(snapshot(2, &[in_service("n", new.address)]));
     env.discovery.wait_until_processed().await;
@@ -217,8 +220,8 @@
     let mut options = GatewayOptions::with_endpoint(endpoint.address);
     options.config_edits = vec![ConfigEdit::new(r#""rules":{"#, r#""rules":{"drain-grace-ms":1000,"#)];
     let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
-    // So many failures in a row that an exponential backoff would be at its maximum.
-    wait_until("requests", || env.discovery.request_count() >= 6).await;
+    // After this many consecutive failures, an exponential delay would be at its maximum.
+    wait_until("6 polls", || env.discovery.request_count() >= 6).await;
     assert!(env.discovery.last_request_line().contains("&wait_ms=0 "));
 
     let before = env.discovery.request_count();
@@ -226,15 +229,15 @@
     busy.write(&idempotent_request(50_000)).await;
     tokio::select! {
         biased;
-        () = wait_until("more requests", || env.discovery.request_count() >= before + 8) => {}
+        () = wait_until("8 more polls", || env.discovery.request_count() >= before + 8) => {}
         _ = busy.read_response() => {
-            panic!("only {} requests in 10 s", env.discovery.request_count() - before)
+            panic!("only {} polls in 10 s", env.discovery.request_count() - before)
         }
     }
 
-    // What discovery learnt meanwhile comes with the next response, and then requests may wait for changes.
+    // The next response contains what has changed meanwhile. After it, polls may wait for changes again.
     env.discovery.publish(snapshot(2, &[terminating("b", endpoint.address)]));
     env.discovery.wait_until_processed().await;
     let is_long_poll = || env.discovery.last_request_line().contains("after=2&wait_ms=333 ");
-    wait_until("a request that waits for changes", is_long_poll).await;
+    wait_until("a poll that waits for changes", is_long_poll).await;
 }
