--- a/gateway/tests/endpoint_connections.rs
+++ b/gateway/tests/endpoint_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: when they are reused, and what becomes of those that are established late.
+//! Connections to endpoints: reuse of idle ones, and those established too late for their request.
 
 mod common;
 
@@ -23,7 +23,7 @@
 
     for _ in 0..20 {
         assert_eq!(client.request(&non_idempotent_request(DEADLINE_MS)).await.status(), 200);
-        // A connection has to be idle for a moment before it is reused.
+        // A connection is reused only after a minimum idle time.
         sleep_ms(40).await;
     }
 
@@ -40,7 +40,7 @@
 
     for n in 1..=10 {
         assert_eq!(client.request(&non_idempotent_request(50_000)).await.status(), 200);
-        wait_until("the endpoint's close", || endpoint.connections_closed() == n).await;
+        wait_until("the close by the endpoint", || endpoint.connections_closed() == n).await;
     }
 
     assert_eq!(endpoint.request_count(), 10);
@@ -50,17 +50,17 @@
 async fn timeout_of_an_attempt_closes_the_idle_connections_to_its_endpoint() {
     let endpoint = TestEndpoint::responding(ScriptedResponse::ok_after(300, "x")).await;
     let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
-    let mut one = env.gateway.client().await;
-    let mut two = env.gateway.client().await;
+    let mut first_client = env.gateway.client().await;
+    let mut second_client = env.gateway.client().await;
     let (first, second) = (idempotent_request(DEADLINE_MS), idempotent_request(DEADLINE_MS));
-    let (first, second) = tokio::join!(one.request(&first), two.request(&second));
+    let (first, second) = tokio::join!(first_client.request(&first), second_client.request(&second));
     assert_eq!((first.status(), second.status()), (200, 200));
     assert_eq!((endpoint.connections_opened(), endpoint.connections_closed()), (2, 0));
     endpoint.set_script(&[ScriptedResponse::NoResponse]);
-    // A connection has to be idle for a moment before it is reused.
+    // A connection is reused only after a minimum idle time.
     sleep_ms(50).await;
 
-    assert_eq!(one.request(&non_idempotent_request(700)).await.status(), 504);
+    assert_eq!(first_client.request(&non_idempotent_request(700)).await.status(), 504);
 
     wait_until("the end of both connections", || endpoint.connections_closed() == 2).await;
     assert_eq!(endpoint.request_count(), 3);
@@ -122,11 +122,11 @@
 
         env.discovery.publish(update(address, other.address));
         env.discovery.wait_until_processed().await;
-        let late = backlog.accept_all();
+        let late_connections = backlog.accept_all();
 
         assert_eq!(client.read_response().await.body, b"other");
-        late.wait_until_all_closed().await;
-        assert_eq!(late.request_lines(), Vec::<String>::new());
+        late_connections.wait_until_all_closed().await;
+        assert_eq!(late_connections.request_lines(), Vec::<String>::new());
     }
     assert_eq!(other.request_count(), 4);
 }
@@ -142,17 +142,17 @@
     client.write(&non_idempotent_request(3000)).await;
     wait_for_connection_attempt(address).await;
 
-    // The gateway finds both in one turn of its event loop: the connection and the end of the request's
-    // deadline.
+    // The gateway detects the connection and the end of the request's deadline in the same iteration of its
+    // event loop.
     env.gateway.suspend();
-    let late = backlog.accept_all();
-    late.wait_until_opened(1).await;
+    let late_connections = backlog.accept_all();
+    late_connections.wait_until_opened(1).await;
     tokio::time::sleep_until((sent_at + Duration::from_secs(4)).into()).await;
     env.gateway.resume();
 
     assert_ne!(client.read_response().await.status(), 200);
-    late.wait_until_all_closed().await;
-    assert_eq!(late.request_lines(), Vec::<String>::new());
+    late_connections.wait_until_all_closed().await;
+    assert_eq!(late_connections.request_lines(), Vec::<String>::new());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -171,11 +171,12 @@
 
     env.discovery.publish(delta(2, &[in_service("other", other.address)]));
     assert_eq!(client.read_response().await.body, b"other");
-    // A connection of this test is established last: none of the gateway's before it has carried a request.
-    let late = backlog.accept_all();
+    // This connection of the test is established after those of the gateway, none of which may carry a
+    // request.
+    let late_connections = backlog.accept_all();
     drop(TcpStream::connect(address).await.expect("a connection"));
-    late.wait_until_opened(1).await;
-    late.wait_until_all_closed().await;
+    late_connections.wait_until_opened(1).await;
+    late_connections.wait_until_all_closed().await;
 
-    assert_eq!((late.request_lines(), other.request_count()), (Vec::new(), 1));
+    assert_eq!((late_connections.request_lines(), other.request_count()), (Vec::new(), 1));
 }
--- a/gateway/tests/endpoint_responses.rs
+++ b/gateway/tests/endpoint_responses.rs
@@ -1,4 +1,4 @@
-//! Responses of endpoints: which are forwarded, and what bytes before or behind them do.
+//! Endpoint responses: which are forwarded, and how bytes before or after them are handled.
 
 mod common;
 
@@ -15,9 +15,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn response_with_extra_bytes_is_forwarded_and_its_connection_closed() {
-    let good = ok_response("good");
+    let valid_response = ok_response("good");
     for extra in [&ok_response("bad"), "#~ noise", "HTTP/1.1 200"] {
-        let script = [ScriptedResponse::Write(good.clone() + extra), ScriptedResponse::Write(good.clone())];
+        let script = [
+            ScriptedResponse::Write(valid_response.clone() + extra),
+            ScriptedResponse::Write(valid_response.clone()),
+        ];
         let endpoint = TestEndpoint::start(&script).await;
         let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
         let mut client = env.gateway.client().await;
@@ -68,7 +71,8 @@
         sleep_ms(8).await;
         assert_eq!(client.request(&non_idempotent_request(DEADLINE_MS)).await.body, b"good");
 
-        // On a machine too slow to bring the two together nothing was shown: try again.
+        // On a slow machine, the second response may come before the second request is answered. Such a run
+        // shows nothing and is repeated.
         if answered_at.elapsed() < Duration::from_millis(SECOND_RESPONSE_DELAY_MS) {
             return assert_eq!((endpoint.request_count(), endpoint.connections_opened()), (2, 2));
         }
@@ -113,30 +117,31 @@
 
         assert_eq!(response.status(), status);
         client.expect_idle().await;
-        wait_until("the end of that connection", || endpoint.connections_closed() == 1).await;
+        wait_until("the end of the connection", || endpoint.connections_closed() == 1).await;
         assert_eq!(endpoint.request_count(), 1);
     }
 }
 
-/// How an endpoint ends a connection behind what it has written.
+/// How an endpoint ends a connection after what it has written.
 #[derive(Clone, Copy, Debug)]
-enum End {
+enum ConnectionEnd {
     Close,
     Reset,
 }
 
-/// Whether what an endpoint has written before the end is a complete response.
+/// Whether what an endpoint has written before it ends the connection is a complete response.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Response {
+enum Completeness {
     Complete,
     Incomplete,
 }
 
-/// Sends a non-idempotent and then an idempotent request to an endpoint that ends its first two responses so.
-async fn check_ended_response(text: &str, end: End, expected: Response) {
+/// Sends a non-idempotent and then an idempotent request to an endpoint that answers the first two attempts
+/// with `text` and ends the connection.
+async fn check_response_before_connection_end(text: &str, end: ConnectionEnd, expected: Completeness) {
     let response = match end {
-        End::Close => ScriptedResponse::WriteAndClose(text.to_owned()),
-        End::Reset => ScriptedResponse::WriteAndReset(text.to_owned()),
+        ConnectionEnd::Close => ScriptedResponse::WriteAndClose(text.to_owned()),
+        ConnectionEnd::Reset => ScriptedResponse::WriteAndReset(text.to_owned()),
     };
     let endpoint = TestEndpoint::start(&[response.clone(), response, ScriptedResponse::ok("again")]).await;
     let options = GatewayOptions::with_endpoint(endpoint.address).with_long_timeouts(LONG_TIMEOUT_MS);
@@ -146,10 +151,10 @@
     let first = client.request(&non_idempotent_request(LONG_DEADLINE_MS)).await;
     let second = client.request(&idempotent_request(LONG_DEADLINE_MS)).await;
 
-    let is_complete = expected == Response::Complete;
+    let is_complete = expected == Completeness::Complete;
     let status = if is_complete { 200 } else { 502 };
     assert_eq!((first.status(), first.body == b"whole"), (status, is_complete), "{text}, {end:?}");
-    // The idempotent request is retried where the response was incomplete.
+    // The idempotent request is retried if the response was incomplete.
     let body: &[u8] = if is_complete { b"whole" } else { b"again" };
     assert_eq!(second.body, body, "{text}, {end:?}");
     client.expect_idle().await;
@@ -162,25 +167,26 @@
     let until_close = "HTTP/1.1 200 OK\r\n\r\n";
     let sized = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n";
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n";
-    // Without a length only a clean close completes the response; with one, nothing behind it matters.
+    // Without a length, only a clean close completes a response. With a length, it does not matter how the
+    // connection ends after the last byte.
     let cases = [
-        (until_close.to_owned() + "whole", End::Close, Response::Complete),
-        (until_close.to_owned() + "whole", End::Reset, Response::Incomplete),
-        (until_close.to_owned(), End::Reset, Response::Incomplete),
-        (sized.to_owned() + "whole", End::Close, Response::Complete),
-        (sized.to_owned() + "whole", End::Reset, Response::Complete),
-        (sized.to_owned() + "whol", End::Close, Response::Incomplete),
-        (sized.to_owned() + "whol", End::Reset, Response::Incomplete),
-        (sized.to_owned(), End::Close, Response::Incomplete),
-        (chunked.to_owned() + "0\r\n\r\n", End::Close, Response::Complete),
-        (chunked.to_owned(), End::Close, Response::Incomplete),
-        (chunked.to_owned() + "0\r\n\r", End::Reset, Response::Incomplete),
-        (INFORMATIONAL.to_owned(), End::Close, Response::Incomplete),
-        (INFORMATIONAL.to_owned(), End::Reset, Response::Incomplete),
-        (INFORMATIONAL.to_owned() + sized + "whol", End::Reset, Response::Incomplete),
+        (until_close.to_owned() + "whole", ConnectionEnd::Close, Completeness::Complete),
+        (until_close.to_owned() + "whole", ConnectionEnd::Reset, Completeness::Incomplete),
+        (until_close.to_owned(), ConnectionEnd::Reset, Completeness::Incomplete),
+        (sized.to_owned() + "whole", ConnectionEnd::Close, Completeness::Complete),
+        (sized.to_owned() + "whole", ConnectionEnd::Reset, Completeness::Complete),
+        (sized.to_owned() + "whol", ConnectionEnd::Close, Completeness::Incomplete),
+        (sized.to_owned() + "whol", ConnectionEnd::Reset, Completeness::Incomplete),
+        (sized.to_owned(), ConnectionEnd::Close, Completeness::Incomplete),
+        (chunked.to_owned() + "0\r\n\r\n", ConnectionEnd::Close, Completeness::Complete),
+        (chunked.to_owned(), ConnectionEnd::Close, Completeness::Incomplete),
+        (chunked.to_owned() + "0\r\n\r", ConnectionEnd::Reset, Completeness::Incomplete),
+        (INFORMATIONAL.to_owned(), ConnectionEnd::Close, Completeness::Incomplete),
+        (INFORMATIONAL.to_owned(), ConnectionEnd::Reset, Completeness::Incomplete),
+        (INFORMATIONAL.to_owned() + sized + "whol", ConnectionEnd::Reset, Completeness::Incomplete),
     ];
 
     for (text, end, expected) in cases {
-        check_ended_response(&text, end, expected).await;
+        check_response_before_connection_end(&text, end, expected).await;
     }
 }
--- a/gateway/tests/outlier_detection.rs
+++ b/gateway/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Which failures eject an endpoint, and which don't.
+//! Which failures eject an endpoint, and which do not.
 
 mod common;
 
@@ -11,7 +11,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_responses_from_all_endpoints_eject_none() {
-    // One endpoint is all there are: ejected for as long as a truncated response took, it would fail the next
+    // There is only one endpoint. An ejection for as long as a truncated response took would fail the next
     // request.
     let malformed = ScriptedResponse::Write("MUMBLE 7 FOO\r\n\r\n".into());
     let truncated = ScriptedResponse::Write("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly this".into());
@@ -21,7 +21,7 @@
     let mut client = env.gateway.client().await;
 
     for status in [502, 502, 502, 200] {
-        // Non-idempotent, so that there is one attempt for each.
+        // The requests are non-idempotent, so that there is one attempt for each.
         assert_eq!(client.request(&non_idempotent_request(DEADLINE_MS)).await.status(), status);
     }
 
@@ -31,7 +31,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_that_break_under_some_requests_do_not_eject_the_endpoint() {
-    // One endpoint is all there are: while ejected it would be missing for longer than a request waits.
+    // There is only one endpoint. An ejection would last longer than a request waits for an endpoint.
     let script = [
         ScriptedResponse::close(),
         ScriptedResponse::ok("one"),
@@ -44,7 +44,7 @@
     let env = TestEnvironment::start(&options, CounterBehavior::Add).await;
     let mut client = env.gateway.client().await;
 
-    // Idempotent: it is retried at the same endpoint.
+    // The idempotent request is retried at the same endpoint.
     assert_eq!(client.request(&idempotent_request(DEADLINE_MS)).await.body, b"one");
     assert_eq!(client.request(&non_idempotent_request(DEADLINE_MS)).await.status(), 502);
     assert_eq!(client.request(&non_idempotent_request(DEADLINE_MS)).await.status(), 502);
--- a/gateway/tests/retry.rs
+++ b/gateway/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Which requests are retried, and until when an attempt may still be written.
+//! Retries: which failures lead to one, and the write deadline of an attempt.
 
 mod common;
 
@@ -20,71 +20,71 @@
 const LARGE_BODY_BYTES: usize = 64 << 20;
 const MAX_RESPONSE_BYTES: usize = 100;
 
-const ERROR: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-const UNAVAILABLE: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+const INTERNAL_SERVER_ERROR: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
+const SERVICE_UNAVAILABLE: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 const TRUNCATED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly this";
 const MALFORMED: &str = "MUMBLE 7 FOO\r\n\r\n";
 const UNFINISHED_HEADERS: &str = "HTTP/1.1 200 OK\r\nX-A";
-const TOO_LARGE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand on it goes";
+const OVERSIZED_BODY: &str = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand on it goes";
 
 fn oversized_headers() -> String {
     format!("HTTP/1.1 200 OK\r\nX-Long: {}", "y".repeat(20_000))
 }
 
-/// The limits of an exchange whose request has to be written by a time.
+/// The limits of an exchange, optionally with a deadline by which the request must be written.
 fn limits(write_deadline: Option<Instant>) -> ExchangeLimits {
     ExchangeLimits { max_body_bytes: MAX_RESPONSE_BYTES, response_timeout: TIMEOUT, write_deadline }
 }
 
-fn post(size: usize) -> hyper::Request<Full<Bytes>> {
-    hyper::Request::post("/x").body(Full::from(vec![b'x'; size])).expect("a request")
+fn post_request(body_bytes: usize) -> hyper::Request<Full<Bytes>> {
+    hyper::Request::post("/x").body(Full::from(vec![b'x'; body_bytes])).expect("a request")
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn non_idempotent_request_that_may_have_run_fails_and_is_not_retried() {
-    for response in [
-        ScriptedResponse::Write(ERROR.into()),
-        ScriptedResponse::Write(UNAVAILABLE.into()),
+    for scripted in [
+        ScriptedResponse::Write(INTERNAL_SERVER_ERROR.into()),
+        ScriptedResponse::Write(SERVICE_UNAVAILABLE.into()),
         ScriptedResponse::close(),
         ScriptedResponse::WriteAndClose(TRUNCATED.into()),
         ScriptedResponse::WriteAndClose(MALFORMED.into()),
         ScriptedResponse::Write(MALFORMED.into()),
         ScriptedResponse::Write(TRUNCATED.into()),
         ScriptedResponse::Write(UNFINISHED_HEADERS.into()),
-        ScriptedResponse::Write(TOO_LARGE.into()),
+        ScriptedResponse::Write(OVERSIZED_BODY.into()),
         ScriptedResponse::Write(oversized_headers()),
     ] {
-        let a = TestEndpoint::responding(response.clone()).await;
-        let b = TestEndpoint::responding(response.clone()).await;
+        let a = TestEndpoint::responding(scripted.clone()).await;
+        let b = TestEndpoint::responding(scripted.clone()).await;
         let env = TestEnvironment::with_endpoints(&[&a, &b]).await;
         let mut client = env.gateway.client().await;
 
-        let reply = client.request(&non_idempotent_request(DEADLINE_MS)).await;
+        let response = client.request(&non_idempotent_request(DEADLINE_MS)).await;
 
-        assert_eq!(reply.status(), 502, "{response:?}");
+        assert_eq!(response.status(), 502, "{scripted:?}");
         client.expect_idle().await;
-        assert_eq!(a.request_count() + b.request_count(), 1, "{response:?}");
+        assert_eq!(a.request_count() + b.request_count(), 1, "{scripted:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn idempotent_request_is_retried_once_after_any_failure() {
-    for response in [
-        ScriptedResponse::Write(ERROR.into()),
+    for scripted in [
+        ScriptedResponse::Write(INTERNAL_SERVER_ERROR.into()),
         ScriptedResponse::close(),
         ScriptedResponse::WriteAndClose(TRUNCATED.into()),
     ] {
-        let a = TestEndpoint::responding(response.clone()).await;
-        let b = TestEndpoint::responding(response.clone()).await;
+        let a = TestEndpoint::responding(scripted.clone()).await;
+        let b = TestEndpoint::responding(scripted.clone()).await;
         let env = TestEnvironment::with_endpoints(&[&a, &b]).await;
         let mut client = env.gateway.client().await;
 
-        let reply = client.request(&idempotent_request(DEADLINE_MS)).await;
+        let response = client.request(&idempotent_request(DEADLINE_MS)).await;
 
-        assert_eq!(reply.status(), 429, "{response:?}");
-        assert!(reply.headers.contains_key("retry-after"));
+        assert_eq!(response.status(), 429, "{scripted:?}");
+        assert!(response.headers.contains_key("retry-after"));
         client.expect_idle().await;
-        assert_eq!(a.request_count() + b.request_count(), 2, "{response:?}");
+        assert_eq!(a.request_count() + b.request_count(), 2, "{scripted:?}");
     }
 }
 
@@ -130,10 +130,10 @@
         let endpoint = TestEndpoint::responding(ScriptedResponse::Write(text)).await;
         let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
 
-        let reply = env.gateway.request(&non_idempotent_request(2000)).await;
+        let response = env.gateway.request(&non_idempotent_request(2000)).await;
 
         let expected = if status.starts_with("200") { 200 } else { 502 };
-        assert_eq!((reply.status(), endpoint.request_count()), (expected, 1), "{status}");
+        assert_eq!((response.status(), endpoint.request_count()), (expected, 1), "{status}");
     }
 }
 
@@ -141,7 +141,7 @@
 async fn broken_connection_reports_whether_the_request_was_written_completely() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    // A large request to a peer that reads little of it and closes is not written completely.
+    // The peer closes after it has read a few bytes, so the large request is not written completely.
     let large = (LARGE_BODY_BYTES, 10, ExchangeError::PartlySent);
     let small = (10, 40, ExchangeError::Sent);
     for (body_bytes, read_bytes, expected) in [large, small] {
@@ -153,36 +153,36 @@
             peer.read_exact(&mut bytes).await.expect("bytes");
             sleep_ms(100).await;
         };
-        let exchange = connection.exchange(post(body_bytes), limits(None));
-        let (end, ()) = tokio::join!(exchange, close);
+        let exchange = connection.exchange(post_request(body_bytes), limits(None));
+        let (result, ()) = tokio::join!(exchange, close);
 
-        assert_eq!(end.expect_err("a broken connection"), expected);
+        assert_eq!(result.expect_err("a broken connection"), expected);
         assert!(!connection.is_alive());
     }
 }
 
 #[tokio::test]
-async fn request_not_written_completely_by_its_time_limit_is_never_completed() {
+async fn request_not_written_completely_by_the_write_deadline_is_never_completed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let mut connection = Connection::connect(address, TIMEOUT).await.expect("a connection");
     let (mut peer, _) = listener.accept().await.expect("a connection");
 
-    let write_by = Instant::now() + Duration::from_millis(200);
-    let end = connection.exchange(post(LARGE_BODY_BYTES), limits(Some(write_by))).await;
+    let write_deadline = Instant::now() + Duration::from_millis(200);
+    let result = connection.exchange(post_request(LARGE_BODY_BYTES), limits(Some(write_deadline))).await;
     let ended_at = Instant::now();
     drop(connection);
-    // The peer begins to read once the time is over.
+    // The peer starts to read only after the write deadline.
     let mut bytes = Vec::new();
-    let _ = within_timeout("the end", peer.read_to_end(&mut bytes)).await;
+    let _ = within_timeout("the end of the connection", peer.read_to_end(&mut bytes)).await;
 
-    assert_eq!(end.expect_err("given up"), ExchangeError::PartlySent);
-    assert!(ended_at >= write_by);
+    assert_eq!(result.expect_err("an exceeded write deadline"), ExchangeError::PartlySent);
+    assert!(ended_at >= write_deadline);
     assert!(bytes.len() < LARGE_BODY_BYTES);
 }
 
 #[tokio::test]
-async fn request_written_completely_in_time_may_be_answered_after_the_time_limit() {
+async fn request_written_completely_in_time_may_be_answered_after_the_write_deadline() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let mut connection = Connection::connect(address, TIMEOUT).await.expect("a connection");
@@ -195,11 +195,11 @@
         peer
     };
 
-    let write_by = Instant::now() + Duration::from_millis(300);
-    let exchange = connection.exchange(post(10), limits(Some(write_by)));
-    let (end, _peer) = tokio::join!(exchange, respond);
+    let write_deadline = Instant::now() + Duration::from_millis(300);
+    let exchange = connection.exchange(post_request(10), limits(Some(write_deadline)));
+    let (result, _peer) = tokio::join!(exchange, respond);
 
-    assert_eq!(end.expect("a response").body(), "x");
+    assert_eq!(result.expect("a response").body(), "x");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -224,9 +224,9 @@
         let endpoint = TestEndpoint::responding(ScriptedResponse::WriteInParts(pieces.clone())).await;
         let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
 
-        let reply = env.gateway.request(&non_idempotent_request(20_000)).await;
+        let response = env.gateway.request(&non_idempotent_request(20_000)).await;
 
-        assert_eq!((reply.status(), endpoint.request_count()), (200, 1), "{pieces:?}");
+        assert_eq!((response.status(), endpoint.request_count()), (200, 1), "{pieces:?}");
     }
 }
 
@@ -237,8 +237,8 @@
         let endpoint = TestEndpoint::start(&script).await;
         let env = TestEnvironment::with_endpoints(&[&endpoint]).await;
 
-        let reply = env.gateway.request(&non_idempotent_request(2000)).await;
+        let response = env.gateway.request(&non_idempotent_request(2000)).await;
 
-        assert_eq!((reply.status(), endpoint.request_count()), (502, 1), "{text:?}");
+        assert_eq!((response.status(), endpoint.request_count()), (502, 1), "{text:?}");
     }
 }
