--- a/gateway/tests/counter.rs
+++ b/gateway/tests/counter.rs
@@ -1,4 +1,4 @@
-//! Quotas on the shared counter, and the fallback allowance while it is unavailable.
+//! Quotas that gateways share through the counter, and the fallback allowance while it is unavailable.
 
 mod common;
 
@@ -28,13 +28,13 @@
     statuses
 }
 
-/// How many of these were served; panics if any was neither served nor rejected.
+/// Returns the number of served requests; panics if any was neither served nor rejected.
 fn count_served(statuses: &[u16]) -> usize {
     assert!(statuses.iter().all(|s| [200, 429].contains(s)), "{statuses:?}");
     statuses.iter().filter(|s| **s == 200).count()
 }
 
-/// A plan with a burst of ten units that refills in a quarter of an hour.
+/// Options with a plan whose burst of 10 units takes a quarter of an hour to refill.
 fn small_quota(endpoint: &TestEndpoint) -> GatewayOptions {
     GatewayOptions { refill_rate: 0.01, burst: 10.0, ..GatewayOptions::with_endpoint(endpoint.address) }
 }
@@ -84,7 +84,7 @@
     env.counter.set_behavior(CounterBehavior::Add);
     sleep_ms(400).await;
 
-    // Another tenant on the same connection has a total of its own: all of its quota and no more.
+    // Another tenant on the same connection has its own total: its full quota is served, and no more.
     let mut client = env.gateway.client().await;
     let mut served = 0;
     for _ in 0..15 {
@@ -104,7 +104,7 @@
 
     env.counter.set_behavior(CounterBehavior::Add);
 
-    within_timeout("a total", async {
+    within_timeout("a total at the counter", async {
         while env.counter.totals().is_empty() {
             send_requests(&env.gateway, 1).await;
             sleep_ms(50).await;
@@ -113,20 +113,21 @@
     .await;
 }
 
-/// Calls the counter with the gateway's client alone, once for each behavior; returns how each call ended.
+/// Calls the counter with the gateway's client, without a gateway, once for each behavior of the counter.
+/// Returns the results of the calls.
 async fn call_results(description: &'static str, behaviors: &[CounterBehavior]) -> Vec<CounterResult> {
     let service = TestCounter::start(CounterBehavior::Add).await;
-    let (at, behaviors) = (service.address, behaviors.to_vec());
+    let (address, behaviors) = (service.address, behaviors.to_vec());
     tokio::task::LocalSet::new()
         .run_until(async move {
-            let (report, mut ends) = tokio::sync::mpsc::unbounded_channel();
+            let (report, mut reports) = tokio::sync::mpsc::unbounded_channel();
             let report = Rc::new(move |call: CompletedCall| report.send(call.result).expect("a listener"));
-            let counter = CounterClient::start(at, Duration::from_secs(1), report);
+            let counter = CounterClient::start(address, Duration::from_secs(1), report);
             let mut results = Vec::new();
             for behavior in behaviors {
                 service.set_behavior(behavior);
                 counter.increment(2, 1.0, 10_000.0);
-                results.push(within_timeout(description, ends.recv()).await.expect("an end"));
+                results.push(within_timeout(description, reports.recv()).await.expect("a result"));
             }
             results
         })
@@ -134,13 +135,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn call_after_a_malformed_counter_reply_is_made_at_once_and_none_is_lost() {
+async fn call_after_a_malformed_counter_reply_is_sent_at_once_and_no_call_is_lost() {
     const TOTAL: fn(f64) -> CounterResult = CounterResult::Total;
     const UNKNOWN: CounterResult = CounterResult::Unknown;
-    let no_resp = "#~\r\n";
+    let not_resp = "#~\r\n";
     let error_without_total = "-LOADING soon\r\n";
     let incomplete = "$900\r\n12";
-    for reply in [no_resp, error_without_total, incomplete] {
+    for reply in [not_resp, error_without_total, incomplete] {
         let add = CounterBehavior::Add;
         let malformed = CounterBehavior::AddAndReplyWith(reply);
 
@@ -150,17 +151,18 @@
     }
 }
 
-/// A reply that the counter's protocol does not allow, and how the log line about it begins and ends. Between
-/// them is the call, whose key depends on the time.
+/// An invalid counter reply, and the start and end of the log line about it. Between them is the call, whose
+/// key depends on the time.
 struct InvalidReply {
     text: &'static str,
-    found: &'static str,
-    expected: &'static str,
+    log_prefix: &'static str,
+    log_suffix: &'static str,
 }
 
 fn invalid_replies() -> Vec<InvalidReply> {
-    let reply = |text, found, expected| InvalidReply { text, found, expected };
-    let unusable = |text, found| reply(text, found, ", expected a finite total, BUSY or ERR (logged once)");
+    let reply = |text, log_prefix, log_suffix| InvalidReply { text, log_prefix, log_suffix };
+    let unusable =
+        |text, log_prefix| reply(text, log_prefix, ", expected a finite total, BUSY or ERR (logged once)");
     let too_long = format!("$9000\r\n{}", "1".repeat(5000)).leak();
     vec![
         reply("#~\r\n", "counter: malformed reply, expected RESP2: ", " (logged once)"),
@@ -174,12 +176,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn invalid_counter_reply_is_logged_once_a_connection_with_what_was_found_and_expected() {
-    for InvalidReply { text, found, expected } in invalid_replies() {
+async fn invalid_counter_reply_is_logged_once_per_connection_with_what_was_found_and_expected() {
+    for InvalidReply { text, log_prefix, log_suffix } in invalid_replies() {
         let endpoint = TestEndpoint::ok("x").await;
         let options = GatewayOptions { refill_rate: 250.0, burst: 50.0, ..small_quota(&endpoint) };
         let env = TestEnvironment::start(&options, CounterBehavior::AddAndReplyWith(text)).await;
-        // In the refill period of 200 ms after its start a gateway makes two calls at once.
+        // During the refill period of 200 ms after its start, a gateway makes two calls at once.
         sleep_ms(250).await;
 
         within_timeout("several calls on a connection", async {
@@ -190,9 +192,9 @@
         })
         .await;
 
-        wait_until("a log line", || !env.gateway.log_lines(found).is_empty()).await;
+        wait_until("a log line", || !env.gateway.log_lines(log_prefix).is_empty()).await;
         let lines = env.gateway.log_lines("counter: ");
         assert!(lines.len() <= CONNECTION_COUNT, "{lines:?}");
-        assert!(lines.iter().all(|l| l.starts_with(found) && l.ends_with(expected)), "{lines:?}");
+        assert!(lines.iter().all(|l| l.starts_with(log_prefix) && l.ends_with(log_suffix)), "{lines:?}");
     }
 }
--- a/gateway/tests/system_call_failures.rs
+++ b/gateway/tests/system_call_failures.rs
@@ -1,5 +1,5 @@
-//! System calls of the gateway that fail as Linux documents: no request is lost or run twice, and a moment of
-//! failures that have their cause on this machine rejects nobody for longer than it lasts.
+//! System calls of the gateway that fail as Linux documents: no request is lost or run twice, and transient
+//! failures with a local cause lead to no rejections after they end.
 
 mod common;
 
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 struct Outcomes {
     by_status: HashMap<u16, usize>,
-    /// The connection was closed without a response.
+    /// Requests whose connection was closed without a response.
     lost: usize,
 }
 
@@ -30,7 +30,7 @@
         self.by_status.get(&status).copied().unwrap_or_default()
     }
 
-    fn add(&mut self, other: &Self) {
+    fn merge(&mut self, other: &Self) {
         self.lost += other.lost;
         for (status, count) in &other.by_status {
             *self.by_status.entry(*status).or_default() += count;
@@ -38,7 +38,7 @@
     }
 }
 
-/// Sends requests of all classes one after another, a number of them on each connection.
+/// Sends requests of all classes one after another, [`REQUESTS_PER_CONNECTION`] on each connection.
 async fn run_client(gateway: SocketAddr, requests: usize) -> Outcomes {
     let mut outcomes = Outcomes::default();
     let mut idle_client = None;
@@ -66,19 +66,20 @@
     outcomes
 }
 
-/// Runs all clients at once.
+/// Runs all clients concurrently.
 async fn run_clients(gateway: &GatewayProcess, requests_per_client: usize) -> Outcomes {
     let address = gateway.address;
     let clients: Vec<_> =
         (0..CLIENTS).map(|_| tokio::spawn(run_client(address, requests_per_client))).collect();
     let mut outcomes = Outcomes::default();
     for client in clients {
-        outcomes.add(&within_timeout("a client's responses", client).await.expect("a client"));
+        outcomes.merge(&within_timeout("a client's responses", client).await.expect("a client"));
     }
     outcomes
 }
 
-/// No request id came twice, in any class: nothing fails at the endpoints, so nothing has to be retried.
+/// Panics if a request id was received twice, in any class: no attempt fails at the endpoints, so none has to
+/// be retried.
 fn assert_no_request_ran_twice(endpoints: &[TestEndpoint]) {
     let mut counts = HashMap::new();
     for endpoint in endpoints {
@@ -86,8 +87,8 @@
             *counts.entry(request.headers["req-id"].clone()).or_insert(0) += 1;
         }
     }
-    let twice: Vec<_> = counts.iter().filter(|(_, count)| **count > 1).collect();
-    assert!(twice.is_empty(), "{twice:?}");
+    let repeated: Vec<_> = counts.iter().filter(|(_, count)| **count > 1).collect();
+    assert!(repeated.is_empty(), "{repeated:?}");
 }
 
 async fn start_endpoints() -> [TestEndpoint; 3] {
@@ -102,7 +103,7 @@
     GatewayOptions { refill_rate: 100_000.0, burst: 100_000.0, ..GatewayOptions::with_entries(&entries) }
 }
 
-/// Runs the clients under faults of some seeds; every request must be served, once.
+/// Runs the clients with injected faults for some seeds, and checks that every request is served once.
 async fn assert_all_are_served_once(faults: &str) {
     for seed in [1, 2] {
         let endpoints = start_endpoints().await;
@@ -129,7 +130,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn reads_and_writes_without_memory_for_a_moment_lose_no_request() {
+async fn reads_and_writes_that_fail_transiently_for_lack_of_memory_lose_no_request() {
     assert_all_are_served_once("recv=ENOMEM/30;send=ENOBUFS/30").await;
 }
 
@@ -139,13 +140,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn accepts_that_fail_for_a_moment_lose_no_request() {
+async fn accepts_that_fail_transiently_lose_no_request() {
     assert_all_are_served_once("accept=ECONNABORTED/200;accept=ENFILE/100;accept=EINTR/100;accept=EPROTO/50")
         .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn sockets_that_cannot_be_set_up_for_a_moment_lose_no_request() {
+async fn socket_setups_that_fail_transiently_lose_no_request() {
     let faults = "socket=ENFILE/200;connect=EADDRNOTAVAIL/200;connect=EINTR/100;setsockopt=ENOBUFS/300";
     assert_all_are_served_once(faults).await;
 }
@@ -170,7 +171,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn gateway_starts_although_its_first_sockets_fail() {
+async fn gateway_starts_even_if_its_first_sockets_fail() {
     let endpoints = start_endpoints().await;
     let faults = "socket=ENFILE/1000@0-300;setsockopt=ENOBUFS/500@0-600;epoll_ctl=ENOMEM/500@0-600";
     let options = unlimited_options(&endpoints).with_faults(faults);
@@ -183,7 +184,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn signals_are_handled_although_system_calls_are_interrupted() {
+async fn signals_are_handled_while_system_calls_are_interrupted() {
     let endpoints = start_endpoints().await;
     let options = unlimited_options(&endpoints).with_faults("recv=EINTR/200;epoll_wait=EINTR/300");
     let mut env = TestEnvironment::start(&options, CounterBehavior::Add).await;
