--- a/fleet/src/report/invariants.rs
+++ b/fleet/src/report/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold in every simulation.
+//! The invariants of a simulation: upper limits that no run may exceed.
 
 use super::metrics::Metrics;
 use super::rounding::round;
@@ -7,16 +7,16 @@
 use crate::tenants::{Tenant, Tenants};
 use serde::Serialize;
 
-/// Something that must hold in every simulation.
+/// An upper limit on a measured value, which every simulation must respect.
 #[derive(Clone, Debug, Serialize)]
 pub struct Invariant {
-    /// What must hold.
+    /// A sentence that states the invariant.
     pub name: &'static str,
-    /// Whether it held.
+    /// Whether the measured value is within the limit.
     pub held: bool,
     /// The measured value.
     pub value: f64,
-    /// The most that the value may be.
+    /// The highest allowed value.
     pub limit: f64,
 }
 
@@ -30,16 +30,16 @@
     }
 }
 
-/// The highest values relative to their limits.
+/// The highest ratios of a value to its limit over all tenants and endpoints.
 #[derive(Clone, Copy)]
 pub(crate) struct WorstRatios {
-    /// The usage of a tenant to the most that its quota allows.
+    /// Units used by a tenant, relative to the maximum that its quota allows.
     pub(crate) quota_usage: f64,
-    /// The attempts sent to an endpoint in slow start to its budget.
+    /// Attempts sent to an endpoint in slow start, relative to its budget.
     pub(crate) slow_start: f64,
 }
 
-/// All invariants of a simulation.
+/// Evaluates all invariants of a simulation.
 pub(super) fn invariants(metrics: &Metrics, worst_ratios: WorstRatios) -> Vec<Invariant> {
     vec![
         Invariant::must_be_zero(
@@ -70,7 +70,7 @@
     ]
 }
 
-/// The highest usage of a tenant, relative to the most that its quota allows.
+/// The highest ratio, over all tenants, of the units used to the maximum that the quota allows.
 pub(crate) fn worst_quota_usage(
     experiment: &Experiment, tenants: &Tenants, counter: CounterStatistics,
 ) -> f64 {
@@ -80,12 +80,12 @@
         // While the counter is unavailable, each gateway also admits from its fallback allowance.
         let counter_failed = counter.timed_out + counter.rejected > 0;
         let fallback = if counter_failed { allowed } else { 0.0 };
-        // Each quota window grants a burst, and a run may begin and end within a window; each gateway may
-        // admit one request while the refund of another is in transit.
+        // Each quota window grants a burst, and the run need not start or end at a window boundary. Each
+        // gateway may also admit one request while the refund of another is in transit.
         let boundary_allowance = quota.burst + f64::from(tenant.gateway_count * experiment.load.units.high);
         tenant.used_units / (allowed + boundary_allowance + fallback)
     };
-    // A quota of less than a unit per gateway holds on average only.
+    // A quota with a burst of less than one unit per gateway is enforced on average only.
     let is_bounded = |tenant: &&Tenant| tenants.quota(tenant).burst >= f64::from(tenant.gateway_count);
     tenants.iter().filter(is_bounded).map(usage).fold(0.0, f64::max)
 }
--- a/fleet/src/report/markdown.rs
+++ b/fleet/src/report/markdown.rs
@@ -1,9 +1,9 @@
-//! The summary of a result, as `summary.md` holds it.
+//! Formats a report as Markdown, for `summary.md` and standard output.
 
 use super::result::{Percentiles, Report, Spread};
 use std::fmt::{Display, Write};
 
-/// A Markdown table of two columns.
+/// A Markdown table with the columns `figure` and `value`.
 struct Table(String);
 
 impl Table {
@@ -20,12 +20,12 @@
     }
 }
 
-fn percent(part: u64, of: u64) -> String {
-    format!("{:.2}%", 100.0 * part as f64 / of.max(1) as f64)
+fn percent(part: u64, total: u64) -> String {
+    format!("{:.2}%", 100.0 * part as f64 / total.max(1) as f64)
 }
 
 impl Report {
-    /// The summary for people.
+    /// Formats the report as a human-readable Markdown table.
     pub fn markdown(&self) -> String {
         let mut table = Table::new();
         self.add_scale(&mut table);
@@ -63,32 +63,42 @@
     }
 
     fn add_client_attempts(&self, table: &mut Table) {
-        let of_offered = |part: u64| percent(part, self.offered);
+        let percent_of_offered = |part: u64| percent(part, self.offered);
         let rejected = &self.rejected;
         table.row("client attempts; first attempts", format!("{}; {}", self.offered, self.first_attempts));
         table.row(
             "first attempts served, then or by a retry",
             format!("{:.2}%", 100.0 * self.served_fraction_of_first_attempts),
         );
-        table.row("served; late", format!("{}; {}", of_offered(self.served), of_offered(self.late)));
-        table.row("rejected", of_offered(rejected.total));
-        table.row("- beyond quota", of_offered(rejected.beyond_quota));
-        table.row("- after an attempt", of_offered(rejected.after_attempt));
+        table.row(
+            "served; late",
+            format!("{}; {}", percent_of_offered(self.served), percent_of_offered(self.late)),
+        );
+        table.row("rejected", percent_of_offered(rejected.total));
+        table.row("- beyond quota", percent_of_offered(rejected.beyond_quota));
+        table.row("- after an attempt", percent_of_offered(rejected.after_attempt));
         table.row(
             "- with units left: on arrival; on a counter reply; after a wait",
             format!(
                 "{}; {}; {}",
-                of_offered(rejected.on_arrival),
-                of_offered(rejected.on_counter_reply),
-                of_offered(rejected.wait_expired)
+                percent_of_offered(rejected.on_arrival),
+                percent_of_offered(rejected.on_counter_reply),
+                percent_of_offered(rejected.wait_expired)
             ),
         );
-        table.row("rejected with over half of the burst left", of_offered(self.rejected_with_quota_left));
+        table.row(
+            "rejected with over half of the burst left",
+            percent_of_offered(self.rejected_with_quota_left),
+        );
         table.row(
             "failed: timed out; other",
-            format!("{}; {}", of_offered(self.failed.timed_out), of_offered(self.failed.other)),
+            format!(
+                "{}; {}",
+                percent_of_offered(self.failed.timed_out),
+                percent_of_offered(self.failed.other)
+            ),
         );
-        table.row("client disconnected", of_offered(self.client_disconnected));
+        table.row("client disconnected", percent_of_offered(self.client_disconnected));
         table.row("over quota, of those served", percent(self.over_quota, self.served));
     }
 
--- a/fleet/src/report/metrics.rs
+++ b/fleet/src/report/metrics.rs
@@ -1,4 +1,4 @@
-//! What is counted during a simulation. Times are in µs.
+//! Counters and histograms that are updated during a simulation. Times are in µs.
 
 use crate::attempts::OpenAttempts;
 use crate::clients::ClientRequest;
@@ -7,96 +7,102 @@
 use crate::time::Micros;
 use hdrhistogram::Histogram;
 
-/// Why a request was rejected. The policy gives no reason, so it is derived from what the tenant has left by
-/// the model's exact accounting, and from the event that led to the rejection.
+/// Why a request was rejected. The policy gives no reason, so the model derives it from the units that the
+/// tenant has left by the model's exact accounting, and from the event that led to the rejection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RejectionReason {
     /// The tenant had too few units left by the model's exact accounting (gateways only estimate it).
     BeyondQuota,
-    /// An attempt had been forwarded.
+    /// The request was rejected after at least one attempt had been forwarded.
     AfterAttempt,
-    /// On arrival: too few units by the gateway's reading, shed, or the wait queue was full.
+    /// Rejected on arrival: the gateway estimated too few units, shed the request, or its wait queue was full.
     OnArrival,
-    /// On a reply of the counter.
+    /// Rejected on a counter reply.
     OnCounterReply,
-    /// On any other event, mostly the end of a wait for the counter or for capacity.
+    /// Rejected on any other event, mostly the end of a wait for the counter or for capacity.
     WaitExpired,
 }
 
 impl RejectionReason {
-    /// The number of reasons.
     const COUNT: usize = Self::WaitExpired as usize + 1;
 }
 
-/// The longest time that the histograms distinguish: ten minutes, as long as any deadline.
-const MAX_TIME: Micros = 600_000_000;
-const HISTOGRAM_DIGITS: u8 = 3;
+/// The upper bound of the histograms: ten minutes, the longest deadline that an experiment may have.
+const MAX_LATENCY: Micros = 600_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Why a client attempt failed.
 #[derive(Clone, Copy)]
 pub(crate) enum FailureCause {
-    /// There was no response by the deadline.
+    /// The deadline passed without a response.
     TimedOut,
     Other,
 }
 
-/// A client attempt that was rejected.
+/// The outcome of a client attempt that was rejected.
 pub(crate) struct RejectedAttempt {
     pub(crate) reason: RejectionReason,
-    /// Whether over half of the tenant's burst was left.
+    /// Whether more than half of the tenant's burst was left.
     pub(crate) over_half_burst_left: bool,
 }
 
-/// A client attempt that was served.
+/// The outcome of a client attempt that was served.
 pub(crate) struct ServedAttempt {
     pub(crate) latency: Micros,
-    /// The latency without the attempt that was served, but with its new connection.
-    pub(crate) added: Micros,
+    /// Latency added by the gateway: the latency without that of the served attempt, plus the handshake of
+    /// its connection if that was new.
+    pub(crate) added_latency: Micros,
+    /// Whether the latency exceeds the latency objective of its class.
     pub(crate) late: bool,
     pub(crate) quota_check: Option<QuotaCheck>,
 }
 
-/// Counts of client attempts (`offered` and how they ended) and of forwarded attempts. Those of the warm-up
-/// are left out unless the documentation says otherwise.
+/// Counts of client attempts (`offered` and how they ended) and of forwarded attempts. Attempts of the
+/// warm-up are excluded unless a field's documentation says otherwise.
 pub(crate) struct Metrics {
-    /// With those of the warm-up.
+    /// Client attempts, including those of the warm-up.
     pub(super) offered_with_warm_up: u64,
     pub(super) offered: u64,
     pub(super) first_attempts: u64,
     pub(super) served: u64,
+    /// Served after the latency objective.
     pub(super) late: u64,
+    /// Served although the tenant had too few units left.
     pub(super) over_quota: u64,
     rejected: [u64; RejectionReason::COUNT],
-    /// Rejected while over half of the tenant's burst was left.
+    /// Rejected while more than half of the tenant's burst was left.
     pub(super) rejected_with_quota_left: u64,
     pub(super) timed_out: u64,
+    /// Failed for any reason other than a timeout.
     pub(super) failed: u64,
     pub(super) client_disconnected: u64,
-    /// Not completed by the client's deadline.
+    /// Client attempts that the gateway had not completed when the client's deadline passed.
     pub(super) incomplete_at_deadline: u64,
+    /// Client attempts without a completion when the simulation ended.
     pub(super) open_at_end: u64,
     pub(super) forwarded: u64,
     forwarded_ended: u64,
     pub(super) handshakes: u64,
-    /// Forwarded to another zone, of the same region or another.
+    /// Forwarded to another zone, in the same region or another.
     pub(super) cross_zone: u64,
     pub(super) cross_region: u64,
-    /// Completions of client attempts that had one, with those of the warm-up.
+    /// Completions of client attempts that were already completed, including the warm-up.
     pub(super) duplicate_completions: u64,
-    /// Actions that a host cannot perform, with those of the warm-up.
+    /// Actions that a host cannot perform, including the warm-up.
     pub(super) invalid_actions: u64,
-    /// Forwarded to a draining endpoint after its grace, with those of the warm-up.
+    /// Forwarded to a draining endpoint after its drain grace, including the warm-up.
     pub(super) sent_after_drain: u64,
-    /// The largest difference in any audit.
+    /// The largest discrepancy found by any audit.
     pub(super) unaccounted: u64,
-    pub(super) added: Histogram<u64>,
+    pub(super) added_latency: Histogram<u64>,
     pub(super) latency: Histogram<u64>,
 }
 
 impl Metrics {
     pub(crate) fn new() -> Self {
         let histogram = || {
-            Histogram::new_with_bounds(1, MAX_TIME, HISTOGRAM_DIGITS).expect("bounds and digits are allowed")
+            Histogram::new_with_bounds(1, MAX_LATENCY, SIGNIFICANT_DIGITS)
+                .expect("the bounds and the number of digits are valid")
         };
         Self {
             offered_with_warm_up: 0,
@@ -121,7 +127,7 @@
             invalid_actions: 0,
             sent_after_drain: 0,
             unaccounted: 0,
-            added: histogram(),
+            added_latency: histogram(),
             latency: histogram(),
         }
     }
@@ -145,7 +151,7 @@
         self.client_disconnected += 1;
     }
 
-    /// Records that the deadline of a client attempt passed before its completion.
+    /// Records that the deadline of a client attempt passed before the gateway completed it.
     pub(crate) fn record_incomplete_at_deadline(&mut self) {
         self.incomplete_at_deadline += 1;
     }
@@ -167,7 +173,7 @@
         self.late += u64::from(attempt.late);
         self.over_quota += u64::from(attempt.quota_check == Some(QuotaCheck::Over));
         self.latency.saturating_record(attempt.latency);
-        self.added.saturating_record(attempt.added);
+        self.added_latency.saturating_record(attempt.added_latency);
     }
 
     pub(crate) fn record_rejected(&mut self, attempt: &RejectedAttempt) {
@@ -195,13 +201,14 @@
         self.rejected.iter().sum()
     }
 
-    /// Audits the end of the simulation, at which nothing may be open.
+    /// Runs the final audit and records the client attempts that are still open.
     pub(crate) fn finish(&mut self, open: &OpenAttempts) {
         self.audit(open);
         self.open_at_end = open.total;
     }
 
-    /// Compares what was offered and forwarded with what has ended and what is open.
+    /// Checks that every attempt, offered or forwarded, has either ended or is still open, and records the
+    /// largest discrepancy.
     pub(crate) fn audit(&mut self, open: &OpenAttempts) {
         let failed = self.failed + self.timed_out;
         let ended = self.served + self.rejected_total() + failed + self.client_disconnected;
--- a/fleet/src/report/mod.rs
+++ b/fleet/src/report/mod.rs
@@ -1,5 +1,11 @@
-//! The result of a simulation: what is counted, the figures for machines, and the summary for people. Neither
-//! holds the time of day.
+//! The result of a simulation: counters, the JSON report, and the Markdown summary. No output contains the
+//! time of day, so the same experiment and seed give the same bytes.
+//!
+//! - `metrics`: counters and histograms, updated during the simulation.
+//! - `invariants`: limits that every simulation must respect.
+//! - `result`: the report, serialized as `result.json`.
+//! - `markdown`: the report as `summary.md`.
+//! - `rounding`: the precision of reported values.
 
 mod invariants;
 mod markdown;
--- a/fleet/src/report/result.rs
+++ b/fleet/src/report/result.rs
@@ -1,4 +1,4 @@
-//! The figures of a simulation, as `result.json` holds them.
+//! The report of a simulation, serialized as `result.json`.
 
 use super::invariants::{Invariant, WorstRatios, invariants};
 use super::metrics::{Metrics, RejectionReason};
@@ -10,58 +10,58 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// The part of the fleet that was simulated.
+/// The size of the simulated fleet, which may be a fraction of the fleet in the experiment file.
 #[derive(Clone, Debug, Serialize)]
 pub struct SimulatedScale {
-    /// Gateways in the experiment file.
+    /// Number of gateways in the experiment file.
     pub gateways_in_file: u32,
-    /// Gateways that were simulated.
+    /// Number of simulated gateways.
     pub gateways: u32,
-    /// The fraction of gateways, endpoints, tenants, requests and counter that was simulated.
+    /// The simulated fraction of gateways, endpoints, tenants, request rate and counter capacity.
     pub fraction: f64,
-    /// Endpoints at the start.
+    /// Number of endpoints at the start.
     pub endpoints: u64,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: u64,
-    /// First attempts per second, on average.
+    /// Mean rate of first attempts, per second.
     pub requests_per_s: f64,
-    /// Gateways with a real endpoint registry beside their policy engine.
+    /// Number of gateways that have a real endpoint registry in addition to their policy engine.
     pub gateways_with_registry: u32,
-    /// Measured time, seconds, after the warm-up.
+    /// Duration of the run after the warm-up, in seconds.
     pub counted_s: f64,
 }
 
 /// Rejected client attempts, by reason.
 #[derive(Clone, Debug, Serialize)]
 pub struct Rejections {
-    /// All of them.
+    /// All rejected client attempts.
     pub total: u64,
     /// The tenant had too few units left by the model's exact accounting (gateways only estimate it).
     pub beyond_quota: u64,
-    /// An attempt had been forwarded.
+    /// At least one attempt had been forwarded.
     pub after_attempt: u64,
-    /// On arrival, though the tenant had the units: shed, the wait queue full, or beyond the quota by the
-    /// gateway's reading.
+    /// Rejected on arrival although the tenant had the units: shed, the wait queue full, or beyond the quota
+    /// by the gateway's estimate.
     pub on_arrival: u64,
-    /// On a reply of the counter, though the tenant had the units.
+    /// Rejected on a counter reply although the tenant had the units.
     pub on_counter_reply: u64,
-    /// On any other event, mostly the end of a wait for the counter or for capacity, though the tenant had
-    /// the units.
+    /// Rejected on any other event, mostly the end of a wait for the counter or for capacity, although the
+    /// tenant had the units.
     pub wait_expired: u64,
 }
 
-/// Failed client attempts.
+/// Failed client attempts, by cause.
 #[derive(Clone, Debug, Serialize)]
 pub struct Failures {
-    /// Without a response by the deadline.
+    /// The deadline passed without a response.
     pub timed_out: u64,
-    /// All others.
+    /// Any other cause.
     pub other: u64,
 }
 
-/// Percentiles of a duration, in virtual ms.
+/// Percentiles of a duration, in milliseconds of virtual time.
 #[derive(Clone, Debug, Serialize)]
-#[allow(missing_docs, reason = "the names are clear")]
+#[allow(missing_docs, reason = "the field names say which percentile each one is")]
 pub struct Percentiles {
     pub p50: f64,
     pub p90: f64,
@@ -71,7 +71,7 @@
 }
 
 impl Percentiles {
-    fn of(histogram: &Histogram<u64>) -> Self {
+    fn from_histogram(histogram: &Histogram<u64>) -> Self {
         let quantile_ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
         Self {
             p50: quantile_ms(0.5),
@@ -83,127 +83,129 @@
     }
 }
 
-/// How evenly something is spread over the endpoints that were ready from start to end.
+/// How evenly a count is distributed over the endpoints that were ready throughout the simulation.
 #[derive(Clone, Debug, Serialize)]
 pub struct Spread {
-    /// The largest value of one endpoint.
+    /// The highest count of any endpoint.
     pub max: u64,
-    /// The mean.
+    /// The mean count per endpoint.
     pub mean: f64,
-    /// `max` / `mean`.
+    /// `max` divided by `mean`; 1 is perfectly even.
     pub max_over_mean: f64,
 }
 
 impl Spread {
-    fn of(values: impl Iterator<Item = u64> + Clone) -> Self {
-        let max = values.clone().max().unwrap_or(0);
-        let count = values.clone().count().max(1);
-        let mean = values.sum::<u64>() as f64 / count as f64;
+    fn from_counts(counts: impl Iterator<Item = u64> + Clone) -> Self {
+        let max = counts.clone().max().unwrap_or(0);
+        let endpoint_count = counts.clone().count().max(1);
+        let mean = counts.sum::<u64>() as f64 / endpoint_count as f64;
         Self { max, mean: round(mean), max_over_mean: round(max as f64 / mean.max(1e-9)) }
     }
 }
 
-/// Calls of the counter, with those of the warm-up.
+/// Calls from the gateways to the counter, including the warm-up.
 #[derive(Clone, Debug, Serialize)]
 pub struct CounterCalls {
-    /// All calls.
+    /// Number of calls.
     pub calls: u64,
     /// Calls per second.
     pub per_s: f64,
     /// Calls per client attempt.
     #[serde(rename = "per_request")]
     pub per_client_attempt: f64,
-    /// Abandoned by the gateway.
+    /// Calls that the gateway abandoned after its timeout.
     pub timed_out: u64,
-    /// Rejected by the counter.
+    /// Calls that the counter rejected.
     pub rejected: u64,
 }
 
-/// Endpoint lists, their bodies alone.
+/// Endpoint lists that discovery published. Sizes are of the list text alone, without protocol headers.
 #[derive(Clone, Debug, Serialize)]
 pub struct EndpointLists {
-    /// Lists that were published.
+    /// Number of published lists.
     pub published: u64,
-    /// Mean bytes of snapshots that a gateway received.
+    /// Bytes of snapshots received per gateway, on average.
     pub snapshot_bytes_per_gateway: f64,
-    /// Mean bytes of deltas that a gateway received.
+    /// Bytes of deltas received per gateway, on average.
     pub delta_bytes_per_gateway: f64,
 }
 
-/// Attempts that all gateways together sent to endpoints in slow start, and their budget within an overload
-/// window: N + 2 sqrt(N) + 2, where N is the overload factor times the attempts that the endpoint's present
-/// capacity serves within the window. Chance alone exceeds N.
+/// Attempts that all gateways together sent to endpoints in slow start, relative to the budget within an
+/// overload window: N + 2 sqrt(N) + 2, where N is the overload factor times the attempts that the endpoint's
+/// present capacity serves within the window. The budget is larger than N because random arrivals alone
+/// exceed N at times.
 #[derive(Clone, Debug, Serialize)]
 pub struct SlowStartLoad {
-    /// Endpoints that started.
+    /// Number of endpoints that started during the simulation.
     pub starts: u64,
-    /// Attempts sent to them during slow start, each of which was compared with its budget.
+    /// Attempts sent to them during slow start. Each one is compared with the budget.
     pub attempts: u64,
-    /// The highest ratio of attempts to budget ...
+    /// The highest ratio of attempts to budget within an overload window.
     pub worst_ratio: f64,
-    /// ... its attempts ...
+    /// The attempts in the window with the highest ratio.
     pub worst_attempts: u64,
-    /// ... and its budget.
+    /// The budget of the window with the highest ratio.
     pub worst_budget: f64,
 }
 
-/// The result of a simulation. Counts are of client attempts after the warm-up, unless their documentation
-/// says otherwise.
+/// The result of a simulation. Counts are of client attempts after the warm-up, unless a field's
+/// documentation says otherwise.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// The name of the experiment.
     pub experiment: String,
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// The part of the fleet that was simulated.
+    /// The size of the simulated fleet.
     pub scale: SimulatedScale,
-    /// Units that first attempts ask for, relative to the rates of all quotas.
+    /// Units that first attempts request per second, relative to the sum of the rates of all quotas.
     pub quota_demand: f64,
-    /// First attempts, relative to the capacity of the endpoints that are ready at the end.
+    /// Rate of first attempts, relative to the capacity of the endpoints that are ready at the end.
     pub capacity_demand: f64,
-    /// Client attempts.
+    /// All client attempts.
     pub offered: u64,
-    /// First attempts among them.
+    /// Client attempts that are not retries.
     pub first_attempts: u64,
-    /// Served ones.
+    /// Client attempts that were served.
     pub served: u64,
     /// The fraction of first attempts that were served, on the first attempt or on a retry.
     pub served_fraction_of_first_attempts: f64,
-    /// Served after the latency objective.
+    /// Client attempts that were served after the latency objective.
     pub late: u64,
-    /// Rejected ones.
+    /// Client attempts that were rejected.
     pub rejected: Rejections,
-    /// Rejected while over half of the tenant's burst was left.
+    /// Client attempts that were rejected while more than half of the tenant's burst was left.
     pub rejected_with_quota_left: u64,
-    /// Those as a fraction of client attempts.
+    /// `rejected_with_quota_left` as a fraction of all client attempts.
     pub rejected_with_quota_left_fraction: f64,
-    /// Failed ones.
+    /// Client attempts that failed.
     pub failed: Failures,
-    /// Those whose client disconnected.
+    /// Client attempts whose client disconnected.
     pub client_disconnected: u64,
-    /// Served though the tenant had too few units left.
+    /// Client attempts that were served although the tenant had too few units left.
     pub over_quota: u64,
-    /// Those as a fraction of the served ones.
+    /// `over_quota` as a fraction of `served`.
     pub over_quota_fraction: f64,
-    /// The latency of served ones without the attempt that was served, but with its new connection. The
-    /// gateway's processor time is not included: see `slopes`.
+    /// Latency added by the gateway to served client attempts: the latency without that of the served
+    /// attempt, plus the handshake of its connection if that was new. The gateway's processor time is not
+    /// included: see [`slopes`](crate::slopes).
     pub added_ms: Percentiles,
-    /// The latency of served ones at the gateway.
+    /// Latency of served client attempts, measured at the gateway.
     pub latency_ms: Percentiles,
-    /// Attempts per endpoint, with those of the warm-up.
+    /// Forwarded attempts per endpoint, including the warm-up.
     pub attempts_per_endpoint: Spread,
-    /// Gateways that sent to an endpoint at least once, with the warm-up.
+    /// Gateways that sent at least one attempt to an endpoint, including the warm-up.
     pub gateways_per_endpoint: Spread,
-    /// Calls of the counter.
+    /// Calls to the counter.
     pub counter: CounterCalls,
-    /// Endpoint lists.
+    /// Endpoint lists that discovery published.
     pub endpoint_lists: EndpointLists,
     /// Attempts to endpoints in slow start.
     pub slow_start: SlowStartLoad,
     /// Forwarded attempts per client attempt.
     #[serde(rename = "attempts_per_request")]
     pub attempts_per_client_attempt: f64,
-    /// New connections.
+    /// Number of new connections.
     pub handshakes: u64,
     /// New connections per forwarded attempt.
     pub handshakes_per_attempt: f64,
@@ -211,11 +213,11 @@
     pub cross_zone_fraction: f64,
     /// The fraction of forwarded attempts that left the gateway's region.
     pub cross_region_fraction: f64,
-    /// What must hold in every simulation.
+    /// All invariants, including those that held.
     pub invariants: Vec<Invariant>,
 }
 
-/// What a report is made of.
+/// The state of a simulation at its end, from which a report is computed.
 pub(crate) struct ReportInput<'a> {
     pub(crate) experiment: &'a Experiment,
     pub(crate) seed: u64,
@@ -232,7 +234,7 @@
 impl Report {
     pub(crate) fn new(input: &ReportInput) -> Self {
         let ReportInput { experiment, endpoints, counter, metrics, .. } = input;
-        let scale = SimulatedScale::of(input);
+        let scale = SimulatedScale::from_input(input);
         let always_ready = || endpoints.iter().filter(|endpoint| endpoint.was_always_ready());
         Self {
             experiment: experiment.name.clone(),
@@ -245,20 +247,26 @@
             served: metrics.served,
             served_fraction_of_first_attempts: fraction(metrics.served, metrics.first_attempts),
             late: metrics.late,
-            rejected: Rejections::of(metrics),
+            rejected: Rejections::from_metrics(metrics),
             rejected_with_quota_left: metrics.rejected_with_quota_left,
             rejected_with_quota_left_fraction: fraction(metrics.rejected_with_quota_left, metrics.offered),
             failed: Failures { timed_out: metrics.timed_out, other: metrics.failed },
             client_disconnected: metrics.client_disconnected,
             over_quota: metrics.over_quota,
             over_quota_fraction: fraction(metrics.over_quota, metrics.served),
-            added_ms: Percentiles::of(&metrics.added),
-            latency_ms: Percentiles::of(&metrics.latency),
-            attempts_per_endpoint: Spread::of(always_ready().map(|endpoint| endpoint.attempts())),
-            gateways_per_endpoint: Spread::of(always_ready().map(|e| u64::from(e.sender_count()))),
-            counter: CounterCalls::of(*counter, experiment.duration_s, metrics.offered_with_warm_up),
-            endpoint_lists: EndpointLists::of(input.gateways, input.list_count),
-            slow_start: SlowStartLoad::of(endpoints),
+            added_ms: Percentiles::from_histogram(&metrics.added_latency),
+            latency_ms: Percentiles::from_histogram(&metrics.latency),
+            attempts_per_endpoint: Spread::from_counts(always_ready().map(|endpoint| endpoint.attempts())),
+            gateways_per_endpoint: Spread::from_counts(
+                always_ready().map(|endpoint| u64::from(endpoint.sender_count())),
+            ),
+            counter: CounterCalls::from_statistics(
+                *counter,
+                experiment.duration_s,
+                metrics.offered_with_warm_up,
+            ),
+            endpoint_lists: EndpointLists::from_gateways(input.gateways, input.list_count),
+            slow_start: SlowStartLoad::from_endpoints(endpoints),
             attempts_per_client_attempt: fraction(metrics.forwarded, metrics.offered),
             handshakes: metrics.handshakes,
             handshakes_per_attempt: fraction(metrics.handshakes, metrics.forwarded),
@@ -273,17 +281,17 @@
         self.invariants.iter().filter(|invariant| !invariant.held)
     }
 
-    /// The result for machines, with a line feed at its end.
+    /// Serializes the report as indented JSON with a trailing line feed.
     ///
     /// # Panics
-    /// Never: all figures can be written as JSON.
+    /// Never: a report contains only strings, numbers and booleans, which always serialize.
     pub fn json(&self) -> String {
-        serde_json::to_string_pretty(self).expect("all figures can be written as JSON") + "\n"
+        serde_json::to_string_pretty(self).expect("a report serializes as JSON") + "\n"
     }
 }
 
 impl SimulatedScale {
-    fn of(input: &ReportInput) -> Self {
+    fn from_input(input: &ReportInput) -> Self {
         let experiment = input.experiment;
         let gateways = input.gateways.len();
         let gateways_in_file = experiment.fleet.gateways;
@@ -302,7 +310,7 @@
 }
 
 impl Rejections {
-    fn of(metrics: &Metrics) -> Self {
+    fn from_metrics(metrics: &Metrics) -> Self {
         Self {
             total: metrics.rejected_total(),
             beyond_quota: metrics.rejected(RejectionReason::BeyondQuota),
@@ -315,7 +323,7 @@
 }
 
 impl CounterCalls {
-    fn of(counter: CounterStatistics, duration_s: f64, offered: u64) -> Self {
+    fn from_statistics(counter: CounterStatistics, duration_s: f64, offered: u64) -> Self {
         Self {
             calls: counter.calls,
             per_s: round(counter.calls as f64 / duration_s),
@@ -327,7 +335,7 @@
 }
 
 impl EndpointLists {
-    fn of(gateways: &[GatewayProcess], list_count: usize) -> Self {
+    fn from_gateways(gateways: &[GatewayProcess], list_count: usize) -> Self {
         let mean = |bytes: fn(ListBytes) -> u64| {
             let sum: u64 = gateways.iter().map(|gateway| bytes(gateway.list_bytes())).sum();
             round(sum as f64 / gateways.len() as f64)
@@ -341,7 +349,7 @@
 }
 
 impl SlowStartLoad {
-    fn of(endpoints: &Endpoints) -> Self {
+    fn from_endpoints(endpoints: &Endpoints) -> Self {
         let slow_start = endpoints.slow_start();
         Self {
             starts: slow_start.starts,
--- a/fleet/src/requests.rs
+++ b/fleet/src/requests.rs
@@ -126,7 +126,7 @@
                 let latency = now - attempt.arrived_at;
                 let late = latency as f64 > class.latency_objective_ms * 1000.0;
                 let quota_check = attempt.quota_check;
-                metrics.record_served(&ServedAttempt { latency, added, late, quota_check });
+                metrics.record_served(&ServedAttempt { latency, added_latency: added, late, quota_check });
             }
             Completion::Rejected { reason, .. } => self.record_rejected(attempt, reason, now, metrics),
             Completion::Failed => {
