--- a/fleet/src/experiment/error.rs
+++ b/fleet/src/experiment/error.rs
@@ -1,4 +1,4 @@
-//! Why an experiment file cannot be used.
+//! Errors in experiment files.
 
 use super::file::Interval;
 use std::fmt;
@@ -8,32 +8,32 @@
 /// An experiment file that cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{}: cannot be read: {source}", file.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// Why.
+        /// The error of the file system.
         source: std::io::Error,
     },
     /// A key or its value is invalid.
-    #[error("{}:{line}: {key}: {problem}", file.display())]
+    #[error("{}:{line}: {key}: {reason}", file.display())]
     Invalid {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// The line, from 1.
+        /// The line number, starting at 1.
         line: usize,
-        /// The key, with the tables that contain it.
+        /// The dotted key, including the tables that contain it.
         key: String,
-        /// What is wrong with it.
-        problem: Problem,
+        /// Why the key or its value is invalid.
+        reason: InvalidReason,
     },
 }
 
-/// What is wrong with a key or its value.
+/// Why a key or its value is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Problem {
-    /// The file is not TOML.
+pub enum InvalidReason {
+    /// The file is not valid TOML.
     #[error("{0}; expected TOML")]
     Syntax(String),
     /// A key is missing or unknown, or its value has the wrong type.
@@ -42,32 +42,32 @@
     /// A number is out of range.
     #[error("found {found}; expected a number {range}")]
     OutOfRange {
-        /// The number.
+        /// The number in the file.
         found: f64,
-        /// What it may be.
-        range: Range,
+        /// The allowed values.
+        range: ValueRange,
     },
-    /// An interval is out of range or not in order.
+    /// A bound of an interval is out of range, or the lower bound is not first.
     #[error("found [{}, {}]; expected two numbers {range}, the lesser first", found.low, found.high)]
     InvalidInterval {
-        /// The interval.
+        /// The interval in the file.
         found: Interval<f64>,
-        /// What its bounds may be.
-        range: Range,
+        /// The allowed values of both bounds.
+        range: ValueRange,
     },
 }
 
-/// The numbers that a value may be, bounds included.
+/// The range of allowed values, bounds included.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Range {
-    /// The least; [`Range::POSITIVE`] for any number above 0.
+pub struct ValueRange {
+    /// The lower bound; [`ValueRange::POSITIVE`] allows any number above 0.
     pub min: f64,
-    /// The most.
+    /// The upper bound.
     pub max: f64,
 }
 
-impl Range {
-    /// The least number above 0, as a bound.
+impl ValueRange {
+    /// The lower bound that excludes 0 and negative numbers.
     pub const POSITIVE: f64 = f64::MIN_POSITIVE;
 
     pub(super) fn contains(&self, value: f64) -> bool {
@@ -75,13 +75,13 @@
     }
 }
 
-impl From<RangeInclusive<f64>> for Range {
+impl From<RangeInclusive<f64>> for ValueRange {
     fn from(range: RangeInclusive<f64>) -> Self {
         Self { min: *range.start(), max: *range.end() }
     }
 }
 
-impl fmt::Display for Range {
+impl fmt::Display for ValueRange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.min == Self::POSITIVE {
             write!(f, "above 0, at most {}", self.max)
--- a/fleet/src/experiment/file.rs
+++ b/fleet/src/experiment/file.rs
@@ -4,27 +4,27 @@
 use ryefront_policy::{DedupScope, RequestClass};
 use serde::Deserialize;
 
-/// An experiment. Times are in milliseconds (`_ms`) or seconds (`_s`). The range of each figure is in
-/// `validate`.
+/// An experiment. Times are in milliseconds (`_ms`) or seconds (`_s`). The allowed ranges of all values are
+/// in the module `validate`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name.
+    /// The name of the experiment, which the report repeats.
     pub name: String,
-    /// The seed, unless the command line has one.
+    /// The seed of all random numbers; `--seed` overrides it.
     pub seed: u64,
-    /// How long clients send requests.
+    /// How long clients send requests, including the warm-up.
     #[serde(rename = "seconds")]
     pub duration_s: f64,
-    /// Requests that arrive during this time at the start are simulated, but not counted.
+    /// Warm-up at the start: requests that arrive during it are simulated, but not counted.
     #[serde(rename = "settle_s")]
     pub warm_up_s: f64,
     /// The size of the fleet.
     pub fleet: Fleet,
-    /// The part of the fleet that is simulated. Optional: all of it.
+    /// The simulated part of the fleet. Optional; by default, all of it.
     #[serde(default)]
     pub scale: Scale,
-    /// Network delays.
+    /// One-way network delays.
     pub network: Network,
     /// The requests of the clients.
     pub load: Load,
@@ -33,9 +33,9 @@
     pub endpoints: Endpoints,
     /// The shared counter.
     pub counter: Counter,
-    /// Discovery.
+    /// The publication of endpoint lists.
     pub discovery: Discovery,
-    /// Replacement of endpoints. Optional: none.
+    /// A rolling replacement of endpoints. Optional; by default, none.
     #[serde(rename = "release")]
     pub rollout: Option<Rollout>,
     /// The request classes.
@@ -46,7 +46,7 @@
     pub plans: Vec<Plan>,
 }
 
-/// Two bounds of a uniform distribution, in the file an array of two numbers.
+/// The bounds of a uniform distribution, written as an array of two numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(from = "[T; 2]")]
 pub struct Interval<T> {
@@ -62,30 +62,31 @@
     }
 }
 
-/// The size of the fleet.
+/// The number of gateways and endpoints, and their regions and zones.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: u32,
-    /// Endpoints.
+    /// Number of endpoints.
     #[serde(rename = "servers")]
     pub endpoints: u32,
-    /// Regions, each of which has gateways with consecutive indices.
+    /// Number of regions. The gateways of a region have consecutive indices.
     pub regions: u32,
-    /// Zones of each region.
+    /// Number of zones in each region.
     #[serde(rename = "zones")]
     pub zones_per_region: u32,
 }
 
-/// The part that is simulated of a fleet too large for the memory or the time at hand.
+/// The simulated part of the fleet, for fleets that need too much memory or time to simulate completely.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scale {
-    /// Gateways that are simulated, with endpoints, tenants, requests and counter in proportion. Optional:
-    /// all.
+    /// Number of simulated gateways; endpoints, tenants, requests and counter are scaled in proportion.
+    /// Optional; by default, all gateways.
     pub gateways: Option<u32>,
-    /// Gateways that have a real endpoint registry beside their policy engine. Optional: all.
+    /// Number of gateways that have a real endpoint registry in addition to their policy engine. Optional; by
+    /// default, all gateways.
     #[serde(rename = "tables")]
     pub gateways_with_registry: Option<u32>,
 }
@@ -102,7 +103,7 @@
     pub within_region_ms: f64,
     /// Between regions.
     pub cross_region_ms: f64,
-    /// The most by which a delay is longer, as a factor on the delay.
+    /// The maximum random addition to a delay, as a fraction of the delay.
     pub jitter: f64,
 }
 
@@ -110,36 +111,36 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// First attempts of all clients together.
+    /// Mean rate of first attempts of all clients together.
     pub requests_per_s: f64,
-    /// The fraction by which the request rate rises and falls, as a sine.
+    /// Amplitude of the sine by which the request rate varies, as a fraction of the mean.
     #[serde(rename = "swing")]
     pub rate_amplitude: f64,
     /// The period of that sine.
     #[serde(rename = "wave_s")]
     pub rate_period_s: f64,
-    /// Tenants.
+    /// Number of tenants on all plans together.
     pub tenants: u32,
-    /// The usage of a tenant as a factor on the rate of its plan.
+    /// The usage of a tenant that is not heavy, as a factor on the rate of its plan.
     #[serde(rename = "use_of_plan")]
     pub usage_factor: Interval<f64>,
     /// The fraction of heavy tenants.
     #[serde(rename = "heavy_share")]
     pub heavy_fraction: f64,
-    /// The usage of a heavy tenant as a factor on the rate of its plan.
+    /// The usage of a heavy tenant, as a factor on the rate of its plan.
     #[serde(rename = "heavy_times")]
     pub heavy_usage_factor: Interval<f64>,
-    /// Units of a request, integers.
+    /// The units of a request, an integer drawn uniformly.
     pub units: Interval<u32>,
-    /// The most retries of a rejected request.
+    /// The maximum number of times that a client retries a rejected request.
     #[serde(rename = "retries")]
     pub max_retries: u32,
     /// The probability that a rejected request is retried.
     #[serde(rename = "retry_share")]
     pub retry_probability: f64,
-    /// The backoff of a client before a retry, unless Retry-After is longer.
+    /// Client backoff before a retry, unless Retry-After is longer.
     pub backoff_ms: Interval<f64>,
-    /// The longest Retry-After that clients follow.
+    /// The upper limit that clients apply to Retry-After.
     #[serde(rename = "longest_advice_ms")]
     pub max_retry_after_ms: f64,
     /// The probability that a client disconnects before its deadline.
@@ -147,42 +148,43 @@
     pub disconnect_probability: f64,
 }
 
-/// The endpoints.
+/// The capacity of endpoints, their slow start and their connections.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoints {
-    /// Requests that an endpoint processes at once.
+    /// Number of requests that an endpoint processes concurrently.
     pub cores: u32,
-    /// The speed of an endpoint, relative to nominal: the service time of a request is its work / speed.
+    /// The speed of an endpoint relative to nominal: the service time of a request is its work / speed.
     pub speed: Interval<f64>,
-    /// Requests that may wait at an endpoint; more are rejected.
+    /// Number of requests that may wait at an endpoint; further ones are rejected.
     #[serde(rename = "queue")]
     pub queue_capacity: u32,
     /// The fraction of requests that end with an error.
     pub error_rate: f64,
-    /// Endpoints of a cell.
+    /// Number of endpoints in a cell.
     #[serde(rename = "cell")]
     pub cell_size: u32,
-    /// The fraction of its capacity that an endpoint starts with.
+    /// The fraction of its full capacity that an endpoint has at the beginning of slow start.
     #[serde(rename = "cold_share")]
     pub slow_start_initial_fraction: f64,
-    /// The time until an endpoint has its full capacity.
+    /// The duration of slow start, after which an endpoint has its full capacity.
     #[serde(rename = "cold_s")]
     pub slow_start_s: f64,
-    /// Overload factor: attempts above this multiple of an endpoint's present capacity within the overload
-    /// window violate an invariant. The model never fails an endpoint for it.
+    /// Overload factor: attempts to an endpoint in slow start above this multiple of its present capacity,
+    /// within the overload window, violate an invariant. The model never makes an endpoint fail because of
+    /// overload.
     #[serde(rename = "fall_multiple")]
     pub overload_factor: f64,
     /// The overload window: the time over which those attempts are counted.
     #[serde(rename = "fall_s")]
     pub overload_window_s: f64,
-    /// Round trips of a new connection.
+    /// Number of network round trips needed to open a connection.
     #[serde(rename = "handshake_trips")]
     pub handshake_round_trips: u32,
-    /// Work of a new connection at the endpoint.
+    /// Work at the endpoint for a new connection.
     #[serde(rename = "handshake_ms")]
     pub handshake_work_ms: f64,
-    /// How long an idle connection is kept.
+    /// How long an idle connection is kept open.
     #[serde(rename = "idle_s")]
     pub idle_timeout_s: f64,
 }
@@ -191,116 +193,116 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Counter {
-    /// Partitions of the key space.
+    /// Number of partitions of the key space.
     #[serde(rename = "parts")]
     pub partitions: u32,
-    /// Calls per second of all partitions together.
+    /// Calls per second that all partitions together can serve.
     #[serde(rename = "per_s")]
     pub calls_per_s: f64,
-    /// A call that would wait longer is rejected.
+    /// The longest wait in a partition; a call that would wait longer is rejected.
     #[serde(rename = "longest_wait_ms")]
     pub max_wait_ms: f64,
     /// The counter timeout in the gateways' settings.
     pub timeout_ms: f64,
 }
 
-/// Discovery.
+/// The publication of endpoint lists.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
-    /// Changes are collected for this time before they are published.
+    /// The interval at which collected changes are published.
     #[serde(rename = "period_ms")]
     pub publish_period_ms: f64,
-    /// The least time until a gateway is notified.
+    /// The minimum delay from publication to the notification of a gateway.
     #[serde(rename = "notice_ms")]
     pub notification_delay_ms: f64,
-    /// How much later than that a gateway may be notified.
+    /// The maximum random addition to that delay.
     #[serde(rename = "spread_ms")]
     pub notification_spread_ms: f64,
 }
 
-/// Replacement of endpoints while requests go on.
+/// A rolling replacement of endpoints under load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rollout {
-    /// When the first endpoint drains.
+    /// When the first endpoint starts to drain.
     #[serde(rename = "at_s")]
     pub start_s: f64,
-    /// From the first drain to the last.
+    /// The interval over which the drains start; their start times are evenly spaced.
     #[serde(rename = "over_s")]
     pub duration_s: f64,
     /// The fraction of all endpoints that is replaced.
     #[serde(rename = "share")]
     pub replaced_fraction: f64,
-    /// How long a draining endpoint still accepts requests.
+    /// How long a draining endpoint still accepts requests before it stops.
     #[serde(rename = "grace_s")]
     pub drain_grace_s: f64,
-    /// How long after that its successor starts.
+    /// The time from the stop of an endpoint to the start of its successor.
     pub boot_s: f64,
 }
 
-/// What may be done with a request whose earlier attempt may have run.
+/// Whether a request may be executed again after an earlier attempt that may have run.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub enum Idempotency {
-    /// It may be repeated at any time.
+    /// The request may be repeated at any time.
     #[serde(rename = "safe")]
     Idempotent,
-    /// It carries an idempotency key, which the endpoints of a zone recognize.
+    /// The request carries an idempotency key, by which the endpoints of a zone recognize a repetition.
     #[serde(rename = "keyed")]
     WithKey,
-    /// It must never run twice.
+    /// The request must not be executed twice.
     #[serde(rename = "unsafe")]
     NonIdempotent,
 }
 
-/// One request class.
+/// A request class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Its weight among all requests.
+    /// The weight of the class when the class of a request is drawn.
     #[serde(rename = "share")]
     pub request_weight: f64,
-    /// The mean work of a request, which is distributed exponentially.
+    /// The mean of the exponentially distributed work of a request.
     #[serde(rename = "work_ms")]
     pub mean_work_ms: f64,
-    /// Latency objective: a response after it counts as late.
+    /// Latency objective: a slower response counts as late.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: f64,
-    /// How long clients wait.
+    /// How long clients wait for a response.
     pub deadline_ms: f64,
-    /// What may be done with a request that may have run.
+    /// Whether a request may be executed again.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
     /// How long a repeated idempotency key is recognized.
     #[serde(rename = "window_ms")]
     pub dedup_window_ms: f64,
-    /// Priority weight.
+    /// The priority weight of the class in the gateways' settings.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
 }
 
-/// One quota plan.
+/// A quota plan.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Its name.
+    /// The name of the plan.
     pub name: String,
-    /// Its weight among all tenants.
+    /// The weight of the plan when the plan of a tenant is drawn.
     #[serde(rename = "share")]
     pub tenant_weight: f64,
     /// Units per second.
     pub rate: f64,
-    /// The most units that may be used at once, in seconds of the rate.
+    /// The burst, in seconds of the rate: `rate * burst_s` units may be used at once.
     pub burst_s: f64,
-    /// The fraction of the gateways that serves a tenant.
+    /// The fraction of all gateways that serves a tenant.
     #[serde(rename = "spread")]
     pub gateway_fraction: Interval<f64>,
-    /// What a request beyond the quota earns, as a factor on its weight.
+    /// The value of serving a request beyond the quota, as a factor on its priority weight.
     #[serde(rename = "over_worth")]
     pub over_quota_weight: f64,
-    /// What a request beyond the quota costs, as a factor on its weight.
+    /// The cost of serving a request beyond the quota, as a factor on its priority weight.
     #[serde(rename = "over_cost")]
     pub over_quota_cost: f64,
 }
@@ -316,7 +318,7 @@
 }
 
 impl Class {
-    /// The class in the settings of a gateway.
+    /// Converts the class to that of the gateways' settings.
     pub(crate) fn request_class(&self) -> RequestClass {
         RequestClass {
             name: self.name.as_str().into(),
--- a/fleet/src/experiment/mod.rs
+++ b/fleet/src/experiment/mod.rs
@@ -1,10 +1,10 @@
-//! Experiments: what a file describes, how it is read, and which values it may have.
+//! Experiment files: a fleet, its load and its settings, in TOML.
 //!
-//! - `file`: the types of an experiment, with the keys of the file.
-//! - `read`: from text to a valid experiment.
-//! - `validate`: the ranges of its figures.
-//! - `location`: the line of a key, for errors.
-//! - `error`: what errors name.
+//! - `file`: the types of an experiment, and the keys of the file that map to them.
+//! - `read`: parses and validates a file.
+//! - `validate`: the allowed range of each value.
+//! - `location`: finds the line and the dotted key that an error is about.
+//! - `error`: errors, which name the file, the line, the key and the reason.
 
 mod error;
 mod file;
@@ -12,7 +12,7 @@
 mod read;
 mod validate;
 
-pub use error::{ExperimentError, Problem, Range};
+pub use error::{ExperimentError, InvalidReason, ValueRange};
 pub use file::{
     Class, Counter, Discovery, Endpoints, Experiment, Fleet, Idempotency, Interval, Load, Network, Plan,
     Rollout, Scale,
