--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -1,20 +1,20 @@
-//! The command line: see `ryefront-fleet --help`.
+//! The command line of the fleet model; `ryefront-fleet --help` describes it.
 
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand, ValueEnum};
-use ryefront_fleet::slopes::{self, MemoryLoad, Sizes, SlopesError};
+use ryefront_fleet::slopes::{self, MeasurementError, MemoryLoad, Sizes};
 use ryefront_fleet::{Experiment, Report};
 use std::error::Error;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::{self, ExitCode};
 
-/// A model of a fleet of gateways: what each endpoint, tenant and route costs a gateway, and how a complete
-/// fleet performs.
+/// Models a fleet of gateways: measures what each endpoint, tenant and route costs a gateway, and simulates
+/// complete fleets.
 ///
 /// The gateways' policy engine and endpoint list code are real; clients, counter, discovery, network and
-/// endpoints are modelled, in virtual time. Logs are written to standard error.
+/// endpoints are modelled in virtual time. Logs are written to standard error.
 #[derive(Parser)]
 #[command(name = "ryefront-fleet", version)]
 struct Cli {
@@ -27,46 +27,47 @@
     /// Measure what each endpoint, tenant and route costs a gateway, in time and bytes, up to the target
     /// sizes.
     ///
-    /// The gateway's real policy engine and endpoint list code are timed on one core, on a clock and counter
-    /// totals kept by the benchmark. A line or a logarithm is fitted through the points and evaluated at the
-    /// target (26,000 endpoints, 300,000 tenants, 15,000 routes). The number of gateways is proportional to
-    /// the endpoints as at the target (3,100 to 26,000), and at least 300. A route is a request class of the
-    /// settings. Bytes are the growth of resident memory of a separate process for each size. Run it from a
-    /// release build on a machine that is not busy.
+    /// The gateway's real policy engine and endpoint list code are timed on one core, with a clock and a
+    /// counter that the benchmark controls. A line or a logarithm is fitted to the points and evaluated at
+    /// the target (26,000 endpoints, 300,000 tenants, 15,000 routes). The ratio of gateways to endpoints is
+    /// that of the target (3,100 to 26,000), but there are at least 300 gateways. A route is a request class
+    /// of the settings. Bytes are the growth of the resident memory of a separate process for each size. For
+    /// meaningful times, use a release build on an idle machine.
     Slopes {
-        /// Print an array of objects (name, unit, points, at_target and more) instead of the table.
+        /// Print a JSON array of objects (name, unit, points, at_target and more) instead of tables.
         #[arg(long)]
         json: bool,
     },
     /// Simulate an experiment and print its result.
     ///
-    /// The summary is written to standard output. The same file and seed give the same result, byte for byte.
-    /// The status is 0 if all invariants held, 1 if one was violated (standard error says which), 2 if the
-    /// run could not be completed.
+    /// The summary is written to standard output. The same file, options and seed give the same result, byte
+    /// for byte. The exit status is 0 if all invariants held, 1 if any was violated (each is named on
+    /// standard error), and 2 if the run could not be completed.
     ///
-    /// Try: ryefront-fleet run fleet/experiments/calm-300.toml --gateways 30
+    /// Example: ryefront-fleet run fleet/experiments/calm-300.toml --gateways 30
     Run {
-        /// The experiment; fleet/experiments/ holds some, and each key is explained there.
+        /// The experiment file. The files in fleet/experiments/ are examples that explain each key.
         #[arg(value_name = "EXPERIMENT.toml")]
         file: PathBuf,
-        /// The seed instead of the one in the file.
+        /// Override the seed in the file.
         #[arg(long)]
         seed: Option<u64>,
-        /// Simulate this number of gateways, with endpoints, tenants, requests and counter in proportion to
-        /// the fleet in the file.
+        /// Simulate this number of gateways, and scale endpoints, tenants, requests and counter in proportion
+        /// to the fleet in the file.
         #[arg(long, value_parser = clap::value_parser!(u32).range(1..=100_000))]
         gateways: Option<u32>,
-        /// Write result.json and summary.md into this directory, which is created if necessary. Without it
-        /// nothing is written.
+        /// Write result.json and summary.md to this directory, which is created if necessary. By default, no
+        /// file is written.
         #[arg(long, value_name = "DIR")]
         out: Option<PathBuf>,
     },
-    /// Print by how many bytes this process grows with a load. Used by `slopes`.
+    /// Print by how many bytes the resident memory of this process grows with a number of tenants or
+    /// endpoints. Used by `slopes`.
     #[command(hide = true)]
     Memory { load: MemoryLoadArgument, size: usize },
 }
 
-/// See [`MemoryLoad`].
+/// [`MemoryLoad`] as a command-line argument.
 #[derive(Clone, Copy, ValueEnum)]
 enum MemoryLoadArgument {
     Tenants,
@@ -82,7 +83,7 @@
     }
 }
 
-/// How the slopes are printed.
+/// The output format of the `slopes` command.
 #[derive(Clone, Copy)]
 enum OutputFormat {
     Json,
@@ -92,7 +93,7 @@
 /// The exit status for a run that could not be completed.
 const EXIT_ERROR: u8 = 2;
 
-/// The result cannot be written.
+/// The output directory or a file in it cannot be written.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: cannot be written: {source}", directory.display())]
 struct OutputError {
@@ -106,7 +107,7 @@
         Command::Slopes { json } => {
             measure_slopes(if json { OutputFormat::Json } else { OutputFormat::Table })
         }
-        Command::Run { file, seed, gateways, out } => run(&file, seed, gateways, out.as_deref()),
+        Command::Run { file, seed, gateways, out } => run_experiment(&file, seed, gateways, out.as_deref()),
         Command::Memory { load, size } => print_memory(load.into(), size),
     };
     result.unwrap_or_else(|error| {
@@ -116,17 +117,17 @@
 }
 
 fn measure_slopes(format: OutputFormat) -> Result<ExitCode, Box<dyn Error>> {
-    let slopes = slopes::measure(&Sizes::default(), &memory_of_new_process)?;
+    let curves = slopes::measure(&Sizes::default(), &measure_memory_in_new_process)?;
     let text = match format {
-        OutputFormat::Json => slopes::json(&slopes),
-        OutputFormat::Table => slopes::table(&slopes),
+        OutputFormat::Json => slopes::json(&curves),
+        OutputFormat::Table => slopes::table(&curves),
     };
     print!("{text}");
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs the `memory` command of this program.
-fn memory_of_new_process(load: MemoryLoad, size: usize) -> Result<u64, SlopesError> {
+/// Runs the `memory` command of this program and parses its output.
+fn measure_memory_in_new_process(load: MemoryLoad, size: usize) -> Result<u64, MeasurementError> {
     let load = match load {
         MemoryLoad::Tenants => "tenants",
         MemoryLoad::Endpoints => "endpoints",
@@ -134,7 +135,7 @@
     let program = std::env::current_exe()?;
     let output = process::Command::new(program).args(["memory", load, &size.to_string()]).output()?;
     let bytes = String::from_utf8_lossy(&output.stdout).trim().parse();
-    bytes.map_err(|_| SlopesError::Io(io::Error::other(String::from_utf8_lossy(&output.stderr))))
+    bytes.map_err(|_| MeasurementError::Io(io::Error::other(String::from_utf8_lossy(&output.stderr))))
 }
 
 fn print_memory(load: MemoryLoad, size: usize) -> Result<ExitCode, Box<dyn Error>> {
@@ -142,14 +143,15 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn run(
+fn run_experiment(
     file: &Path, seed: Option<u64>, gateways: Option<u32>, out: Option<&Path>,
 ) -> Result<ExitCode, Box<dyn Error>> {
     let mut experiment = Experiment::read(file)?;
     experiment.scale.gateways = gateways.or(experiment.scale.gateways);
     let report = ryefront_fleet::run(&experiment, seed.unwrap_or(experiment.seed))?;
-    if let Some(out) = out {
-        write_report(&report, out).map_err(|source| OutputError { directory: out.to_owned(), source })?;
+    if let Some(directory) = out {
+        write_report(&report, directory)
+            .map_err(|source| OutputError { directory: directory.to_owned(), source })?;
     }
     print!("{}", report.markdown());
     let mut status = ExitCode::SUCCESS;
@@ -160,8 +162,8 @@
     Ok(status)
 }
 
-fn write_report(report: &Report, out: &Path) -> io::Result<()> {
-    std::fs::create_dir_all(out)?;
-    std::fs::write(out.join("result.json"), report.json())?;
-    std::fs::write(out.join("summary.md"), report.markdown())
+fn write_report(report: &Report, directory: &Path) -> io::Result<()> {
+    std::fs::create_dir_all(directory)?;
+    std::fs::write(directory.join("result.json"), report.json())?;
+    std::fs::write(directory.join("summary.md"), report.markdown())
 }
--- a/fleet/src/slopes/fit.rs
+++ b/fleet/src/slopes/fit.rs
@@ -1,21 +1,21 @@
-//! A line or a logarithm through measured points.
+//! Measured costs by size, fitted with a line or a logarithm and extrapolated to the target size.
 
 use serde::Serialize;
 
-/// What a size counts.
+/// The quantity that a cost is measured against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Dimension {
-    /// Endpoints that a gateway knows.
+    /// Endpoints in the gateway's endpoint list.
     Endpoints,
-    /// Tenants whose requests a gateway has had.
+    /// Tenants from which the gateway has received requests.
     Tenants,
     /// Routes, that is, request classes of the settings.
     Routes,
 }
 
 impl Dimension {
-    /// Its name in tables.
+    /// The name in tables.
     pub fn label(self) -> &'static str {
         match self {
             Self::Endpoints => "endpoints",
@@ -25,7 +25,7 @@
     }
 
     /// The size that the fleet has to support.
-    pub fn target(self) -> usize {
+    pub fn target_size(self) -> usize {
         match self {
             Self::Endpoints => 26_000,
             Self::Tenants => 300_000,
@@ -34,13 +34,13 @@
     }
 }
 
-/// A measured value, in JSON an array of size and value.
+/// A cost measured at one size. In JSON it is an array of size and value.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "[f64; 2]")]
 pub struct Point {
-    /// The size.
+    /// The number of endpoints, tenants or routes.
     pub size: f64,
-    /// The value.
+    /// The measured cost.
     pub value: f64,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// The function that was fitted through the points.
+/// The function that was fitted to the points.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Fit {
@@ -58,12 +58,12 @@
     Linear,
     /// `intercept + slope * ln(size)`.
     Log,
-    /// None: the value at the target is the one measured at the largest size.
+    /// No function: the value at the target is the one measured at the largest size.
     None,
 }
 
 impl Fit {
-    /// Its name in tables.
+    /// The name in tables.
     pub fn label(self) -> &'static str {
         match self {
             Self::Linear => "linear",
@@ -73,50 +73,48 @@
     }
 }
 
-/// What is required of a figure: a value of it, and the most that this may be.
-pub(super) struct Limit {
-    /// In words.
-    pub(super) description: &'static str,
-    pub(super) value: f64,
-    pub(super) limit: f64,
-}
-
-/// A limit of a figure, and whether it is met.
+/// An upper limit on a value that is derived from a cost curve.
 #[derive(Clone, Debug, Serialize)]
 pub struct Requirement {
-    /// In words.
+    /// The requirement in words.
     pub description: &'static str,
     /// The measured value.
     pub value: f64,
-    /// The most that it may be.
+    /// The highest allowed value.
     pub limit: f64,
     /// Whether the value is within the limit.
     pub met: bool,
 }
 
-/// One figure by size.
+impl Requirement {
+    pub(super) fn at_most(limit: f64, description: &'static str, value: f64) -> Self {
+        Self { description, value, limit, met: value <= limit }
+    }
+}
+
+/// A cost as a function of a size: the measured points and the function fitted to them.
 #[derive(Clone, Debug, Serialize)]
-pub struct Slope {
+pub struct CostCurve {
     /// What is measured.
     pub name: &'static str,
-    /// The unit of the values.
+    /// The unit of the cost.
     pub unit: &'static str,
-    /// What the sizes count.
+    /// The quantity that the cost is measured against.
     pub size: Dimension,
-    /// The measured values, smallest size first.
+    /// The measured points, smallest size first.
     pub points: Vec<Point>,
-    /// The fitted function, or `Fit::None` where none was fitted.
+    /// The fitted function, or [`Fit::None`].
     pub fit: Fit,
-    /// The slope of that function; 0 where none was fitted.
+    /// The slope of the function, per size or per logarithm of the size; 0 for [`Fit::None`].
     pub slope: f64,
-    /// Its value where the size, or its logarithm, is 0; where none was fitted, the value at the largest
-    /// size.
+    /// The value of the function where the size, or its logarithm, is 0; for [`Fit::None`] the value at the
+    /// largest size.
     pub intercept: f64,
     /// The target size.
     pub target: f64,
     /// The value of the function at the target size.
     pub at_target: f64,
-    /// What is required of the figure, if anything is.
+    /// The requirement on this cost, if there is one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub requirement: Option<Requirement>,
 }
@@ -125,12 +123,12 @@
 struct Line {
     slope: f64,
     intercept: f64,
-    /// The sum of the squared differences between points and line.
+    /// The sum of the squared residuals.
     residual: f64,
 }
 
 impl Line {
-    /// Fits a line through points whose sizes are transformed first.
+    /// Fits a line to points after transforming their sizes.
     fn fit(points: &[Point], transform: impl Fn(f64) -> f64) -> Self {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|p| transform(p.size)).sum::<f64>() / count;
@@ -145,12 +143,13 @@
     }
 }
 
-impl Slope {
-    /// Fits a line and a logarithm through points and evaluates the better one at the target size.
+impl CostCurve {
+    /// Fits a line and a logarithm to the points, keeps the one with the smaller residual, and evaluates it at
+    /// the target size.
     pub fn fitted(name: &'static str, unit: &'static str, size: Dimension, points: Vec<Point>) -> Self {
         let linear = Line::fit(&points, |x| x);
         let log = Line::fit(&points, f64::ln);
-        let target = size.target() as f64;
+        let target = size.target_size() as f64;
         let (fit, line, x) = if linear.residual <= log.residual {
             (Fit::Linear, linear, target)
         } else {
@@ -170,8 +169,8 @@
         }
     }
 
-    /// The figure without a fit, for values that follow no function.
-    pub(super) fn unfitted(mut self) -> Self {
+    /// Discards the fit, for values that follow neither function.
+    pub(super) fn without_fit(mut self) -> Self {
         self.fit = Fit::None;
         self.slope = 0.0;
         self.intercept = self.value_at_largest_size();
@@ -184,15 +183,13 @@
         self.points.last().map_or(0.0, |point| point.value)
     }
 
-    /// The value at the largest size, relative to that at the smallest.
+    /// The ratio of the value at the largest size to that at the smallest.
     pub(super) fn growth(&self) -> f64 {
         self.value_at_largest_size() / self.points.first().map_or(1.0, |point| point.value).max(1e-9)
     }
 
-    /// The figure with what is required of it.
-    pub(super) fn require(mut self, limit: Limit) -> Self {
-        let Limit { description, value, limit } = limit;
-        self.requirement = Some(Requirement { description, value, limit, met: value <= limit });
+    pub(super) fn with_requirement(mut self, requirement: Requirement) -> Self {
+        self.requirement = Some(requirement);
         self
     }
 }
--- a/fleet/src/slopes/list_watch.rs
+++ b/fleet/src/slopes/list_watch.rs
@@ -1,6 +1,6 @@
-//! A complete endpoint list over a loopback socket, through the gateway's real watch.
+//! Checks that a gateway's real endpoint watch reads a snapshot over a loopback socket.
 
-use super::error::SlopesError;
+use super::error::MeasurementError;
 use super::measured_gateway::{FIRST_VERSION, FleetSize, IDLE_TIMEOUT, settings, snapshot};
 use crate::endpoint_list::Registry;
 use ryefront_gateway::discovery::backoff::PollTiming;
@@ -12,16 +12,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A list that is not applied within this time counts as not applied.
+/// A snapshot that is not applied within this time counts as not applied.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// A list that was sent this often without being applied counts as not applied.
+/// A snapshot that is still requested after this number of responses counts as not applied.
 const MAX_RESPONSES: u32 = 3;
-/// The version that a gateway without a list names.
+/// The version that a gateway without an endpoint list requests changes after.
 const NO_VERSION: u64 = 0;
 const SEED: u64 = 7;
 
 /// Whether a gateway reads and applies a snapshot of `endpoints` endpoints.
-pub(super) fn is_snapshot_applied(endpoints: usize) -> Result<bool, SlopesError> {
+pub(super) fn is_snapshot_applied(endpoints: usize) -> Result<bool, MeasurementError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let list = snapshot(endpoints);
     let local = tokio::task::LocalSet::new();
@@ -29,7 +29,7 @@
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let (_sender, address) = tokio::sync::watch::channel(listener.local_addr()?);
         let registry = Registry::new(IDLE_TIMEOUT).shared();
-        let settings = Settings { has_counter: false, ..settings(FleetSize::in_proportion(endpoints)) };
+        let settings = Settings { has_counter: false, ..settings(FleetSize::proportional(endpoints)) };
         let engine = Engine::start(settings, SEED, registry, None)?;
         let timing = PollTiming::SHARED_SERVICE;
         let watch = WatchSettings { address, cached_version: NO_VERSION, seed: SEED, timing };
@@ -38,7 +38,8 @@
     })
 }
 
-/// Responds with a list until a request says that it was applied.
+/// Responds with the same list until a request shows that it was applied, by asking for changes after its
+/// version.
 async fn serve_list(listener: &TcpListener, list: &str) -> io::Result<bool> {
     let applied_query = format!("after={FIRST_VERSION}&");
     let mut responses = 0;
@@ -53,7 +54,7 @@
             }
             responses += 1;
             let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
-            // A gateway that rejects the length closes the connection while it is written to.
+            // A gateway that rejects the Content-Length closes the connection during the write.
             if stream.write_all(response.as_bytes()).await.is_err() {
                 break;
             }
@@ -61,13 +62,13 @@
     }
 }
 
-/// Reads the head of the next request; `None` if the connection ended.
+/// Reads the head of the next request; `None` if the connection was closed.
 async fn read_request_head(stream: &mut TcpStream) -> io::Result<Option<String>> {
     let mut head = Vec::new();
-    let mut bytes = [0; 1024];
+    let mut buffer = [0; 1024];
     while !head.ends_with(b"\r\n\r\n") {
-        match stream.read(&mut bytes).await {
-            Ok(read) if read > 0 => head.extend_from_slice(&bytes[..read]),
+        match stream.read(&mut buffer).await {
+            Ok(read) if read > 0 => head.extend_from_slice(&buffer[..read]),
             _ => return Ok(None),
         }
     }
--- a/fleet/src/slopes/measure.rs
+++ b/fleet/src/slopes/measure.rs
@@ -1,7 +1,7 @@
-//! Which figures are measured, at which sizes, and what is required of them.
+//! Defines the measured costs, the sizes at which each is measured, and the requirements on them.
 
-use super::error::SlopesError;
-use super::fit::{Dimension, Limit, Point, Slope};
+use super::error::MeasurementError;
+use super::fit::{CostCurve, Dimension, Point, Requirement};
 use super::list_watch::is_snapshot_applied;
 use super::measured_gateway::{
     FleetSize, MIN_GATEWAYS, MeasuredGateway, delta, route_name, snapshot, tenant_name,
@@ -10,42 +10,43 @@
 use ryefront_policy::Name;
 use std::time::{Duration, Instant};
 
-/// The fewest and the most repetitions of a measurement.
+/// Bounds on how often a measurement is repeated, whatever [`Sizes::repeat_for`] says.
 const MIN_REPETITIONS: usize = 3;
 const MAX_REPETITIONS: usize = 2_000;
-/// Tenants or routes that the requests of one measurement alternate between.
+/// The number of tenants or routes that the requests of one measurement cycle through.
 const ALTERNATING_NAMES: usize = 64;
 const MAX_SNAPSHOT_MS: f64 = 50.0;
 const MAX_REQUEST_GROWTH: f64 = 2.0;
 const MAX_DELTA_GROWTH: f64 = 4.0;
 
-/// The sizes that are measured, smallest first.
+/// The sizes at which costs are measured, smallest first.
 #[derive(Clone, Debug)]
 pub struct Sizes {
-    /// Endpoints.
+    /// Numbers of endpoints.
     pub endpoints: Vec<usize>,
-    /// Tenants.
+    /// Numbers of tenants.
     pub tenants: Vec<usize>,
-    /// Routes.
+    /// Numbers of routes.
     pub routes: Vec<usize>,
-    /// The time for which each measurement is repeated.
-    pub measured_for: Duration,
+    /// How long each measurement is repeated at each size, within a minimum and a maximum number of
+    /// repetitions.
+    pub repeat_for: Duration,
 }
 
 impl Default for Sizes {
-    /// From small deployments up to the target.
+    /// Sizes from small deployments up to the target.
     fn default() -> Self {
         Self {
-            endpoints: vec![200, 800, 3_200, 10_000, Dimension::Endpoints.target()],
-            tenants: vec![10, 1_000, 30_000, 100_000, Dimension::Tenants.target()],
-            routes: vec![1, 100, 1_000, 5_000, Dimension::Routes.target()],
-            measured_for: Duration::from_millis(250),
+            endpoints: vec![200, 800, 3_200, 10_000, Dimension::Endpoints.target_size()],
+            tenants: vec![10, 1_000, 30_000, 100_000, Dimension::Tenants.target_size()],
+            routes: vec![1, 100, 1_000, 5_000, Dimension::Routes.target_size()],
+            repeat_for: Duration::from_millis(250),
         }
     }
 }
 
 impl Sizes {
-    fn of(&self, dimension: Dimension) -> &[usize] {
+    fn for_dimension(&self, dimension: Dimension) -> &[usize] {
         match dimension {
             Dimension::Endpoints => &self.endpoints,
             Dimension::Tenants => &self.tenants,
@@ -54,50 +55,52 @@
     }
 }
 
-/// Returns what [`measure_memory`](super::measure_memory) returns in a separate process.
-pub type MemoryProbe<'a> = &'a dyn Fn(MemoryLoad, usize) -> Result<u64, SlopesError>;
+/// Runs [`measure_memory`](super::measure_memory) in a separate process and returns its result.
+pub type MemoryProbe<'a> = &'a dyn Fn(MemoryLoad, usize) -> Result<u64, MeasurementError>;
 
-/// Measures all figures.
+/// Measures all costs.
 ///
 /// # Errors
-/// When the gateway's code rejects what it is given, or memory or sockets cannot be used.
-pub fn measure(sizes: &Sizes, memory: MemoryProbe<'_>) -> Result<Vec<Slope>, SlopesError> {
-    let bench = Bench { sizes, memory };
-    let mut slopes = bench.requests()?;
-    slopes.extend(bench.snapshots()?);
-    slopes.push(bench.snapshot_over_socket()?);
-    slopes.extend(bench.deltas()?);
-    slopes.extend(bench.maintenance()?);
-    slopes.push(bench.new_leases()?);
-    slopes.extend(bench.memory()?);
-    Ok(slopes)
+/// When the gateway's code rejects the settings, an endpoint list or a request, or when memory or a loopback
+/// socket cannot be used.
+pub fn measure(sizes: &Sizes, memory_probe: MemoryProbe<'_>) -> Result<Vec<CostCurve>, MeasurementError> {
+    let benchmark = Benchmark { sizes, memory_probe };
+    let mut curves = benchmark.request_times()?;
+    curves.extend(benchmark.snapshot_times()?);
+    curves.push(benchmark.snapshot_over_socket()?);
+    curves.extend(benchmark.delta_times()?);
+    curves.extend(benchmark.maintenance_times()?);
+    curves.push(benchmark.new_lease_time()?);
+    curves.extend(benchmark.memory_growth()?);
+    Ok(curves)
 }
 
-struct Bench<'a> {
+struct Benchmark<'a> {
     sizes: &'a Sizes,
-    memory: MemoryProbe<'a>,
+    memory_probe: MemoryProbe<'a>,
 }
 
-impl Bench<'_> {
-    /// Measures a figure at each size of a dimension.
-    fn by_size(
+impl Benchmark<'_> {
+    /// Measures a cost at each size of a dimension and fits a function to the points.
+    fn cost_by_size(
         &self, name: &'static str, unit: &'static str, dimension: Dimension,
-        measure: impl Fn(usize) -> Result<f64, SlopesError>,
-    ) -> Result<Slope, SlopesError> {
-        tracing::info!("{name}");
+        measure: impl Fn(usize) -> Result<f64, MeasurementError>,
+    ) -> Result<CostCurve, MeasurementError> {
+        tracing::info!("measuring: {name}");
         let point = |size: &usize| Ok(Point { size: *size as f64, value: measure(*size)? });
-        let points = self.sizes.of(dimension).iter().map(point).collect::<Result<Vec<_>, SlopesError>>()?;
-        Ok(Slope::fitted(name, unit, dimension, points))
+        let sizes = self.sizes.for_dimension(dimension);
+        let points = sizes.iter().map(point).collect::<Result<Vec<_>, MeasurementError>>()?;
+        Ok(CostCurve::fitted(name, unit, dimension, points))
     }
 
-    /// The median of a time that is measured repeatedly, µs.
+    /// Repeats a measurement and returns the median time, µs.
     fn median_us(
-        &self, mut measure: impl FnMut() -> Result<Duration, SlopesError>,
-    ) -> Result<f64, SlopesError> {
+        &self, mut measure: impl FnMut() -> Result<Duration, MeasurementError>,
+    ) -> Result<f64, MeasurementError> {
         let start = Instant::now();
         let mut times = Vec::new();
         while times.len() < MIN_REPETITIONS
-            || (times.len() < MAX_REPETITIONS && start.elapsed() < self.sizes.measured_for)
+            || (times.len() < MAX_REPETITIONS && start.elapsed() < self.sizes.repeat_for)
         {
             times.push(measure()?.as_secs_f64() * 1e6);
         }
@@ -105,99 +108,103 @@
         Ok(times[times.len() / 2])
     }
 
-    fn requests(&self) -> Result<Vec<Slope>, SlopesError> {
-        let by_endpoints = self.by_size("one request's decisions", "us", Dimension::Endpoints, |n| {
-            self.request_time(FleetSize::in_proportion(n))
+    fn request_times(&self) -> Result<Vec<CostCurve>, MeasurementError> {
+        let by_endpoints = self.cost_by_size("one request's decisions", "us", Dimension::Endpoints, |n| {
+            self.request_time(FleetSize::proportional(n))
         })?;
         let few_gateways =
-            self.by_size("one request's decisions, 300 gateways", "us", Dimension::Endpoints, |n| {
+            self.cost_by_size("one request's decisions, 300 gateways", "us", Dimension::Endpoints, |n| {
                 self.request_time(FleetSize { endpoints: n, gateways: MIN_GATEWAYS, routes: 1 })
             })?;
         let by_tenants =
-            self.by_size("one request's decisions, tenants known", "us", Dimension::Tenants, |n| {
+            self.cost_by_size("one request's decisions, tenants known", "us", Dimension::Tenants, |n| {
                 let mut gateway = MeasuredGateway::with_tenants(n)?;
                 let tenants = alternating_names(n, tenant_name);
-                self.alternating_requests(&mut gateway, &tenants, &[route_name(0)])
+                self.alternating_request_time(&mut gateway, &tenants, &[route_name(0)])
             })?;
-        let by_routes = self.by_size("one request's decisions, routes", "us", Dimension::Routes, |n| {
-            let mut gateway = MeasuredGateway::with_list(FleetSize { routes: n, ..FleetSize::ONE })?;
-            self.alternating_requests(&mut gateway, &[tenant_name(1)], &alternating_names(n, route_name))
-        })?;
-        let limit = Limit {
-            description: "largest over smallest: at most 2 times",
-            value: by_endpoints.growth(),
-            limit: MAX_REQUEST_GROWTH,
-        };
-        Ok(vec![by_endpoints.require(limit), few_gateways, by_tenants, by_routes])
+        let by_routes =
+            self.cost_by_size("one request's decisions, routes", "us", Dimension::Routes, |n| {
+                let mut gateway = MeasuredGateway::with_list(FleetSize { routes: n, ..FleetSize::MINIMAL })?;
+                self.alternating_request_time(
+                    &mut gateway,
+                    &[tenant_name(1)],
+                    &alternating_names(n, route_name),
+                )
+            })?;
+        let requirement = Requirement::at_most(
+            MAX_REQUEST_GROWTH,
+            "largest over smallest: at most 2 times",
+            by_endpoints.growth(),
+        );
+        Ok(vec![by_endpoints.with_requirement(requirement), few_gateways, by_tenants, by_routes])
     }
 
-    /// The median time of one request in a fleet of this size, µs.
-    fn request_time(&self, size: FleetSize) -> Result<f64, SlopesError> {
+    /// The median time of one request in a fleet of a size, µs.
+    fn request_time(&self, size: FleetSize) -> Result<f64, MeasurementError> {
         let mut gateway = MeasuredGateway::with_list(size)?;
         let tenant = tenant_name(1);
         let class = route_name(0);
-        gateway.request(&tenant, &class)?;
+        gateway.run_request(&tenant, &class)?;
         self.median_us(|| {
-            gateway.advance();
-            Ok(gateway.request(&tenant, &class)?.time)
+            gateway.advance_clock();
+            Ok(gateway.run_request(&tenant, &class)?.time)
         })
     }
 
-    fn alternating_requests(
+    /// The median time of requests that cycle through tenants and classes, µs.
+    fn alternating_request_time(
         &self, gateway: &mut MeasuredGateway, tenants: &[Name], classes: &[Name],
-    ) -> Result<f64, SlopesError> {
+    ) -> Result<f64, MeasurementError> {
         let mut n = 0;
         self.median_us(|| {
             n += 1;
-            Ok(gateway.request(&tenants[n % tenants.len()], &classes[n % classes.len()])?.time)
+            Ok(gateway.run_request(&tenants[n % tenants.len()], &classes[n % classes.len()])?.time)
         })
     }
 
-    fn snapshots(&self) -> Result<Vec<Slope>, SlopesError> {
-        let first = self.by_size("endpoint list snapshot, first", "ms", Dimension::Endpoints, |n| {
+    fn snapshot_times(&self) -> Result<Vec<CostCurve>, MeasurementError> {
+        let first = self.cost_by_size("endpoint list snapshot, first", "ms", Dimension::Endpoints, |n| {
             let text = snapshot(n);
-            let us = self.median_us(|| {
-                Ok(MeasuredGateway::without_list(FleetSize::in_proportion(n))?.apply(&text)?)
-            })?;
+            let us = self
+                .median_us(|| Ok(MeasuredGateway::without_list(FleetSize::proportional(n))?.apply(&text)?))?;
             Ok(us / 1000.0)
         })?;
-        let repeated = self.by_size("endpoint list snapshot, repeated", "ms", Dimension::Endpoints, |n| {
-            let mut gateway = MeasuredGateway::with_list(FleetSize::in_proportion(n))?;
-            let text = snapshot(n);
-            let us = self.median_us(|| Ok(gateway.apply(&text)?))?;
-            Ok(us / 1000.0)
-        })?;
-        let limit = |slope: &Slope| Limit {
-            description: "under 50 ms",
-            value: slope.value_at_largest_size(),
-            limit: MAX_SNAPSHOT_MS,
+        let repeated =
+            self.cost_by_size("endpoint list snapshot, repeated", "ms", Dimension::Endpoints, |n| {
+                let mut gateway = MeasuredGateway::with_list(FleetSize::proportional(n))?;
+                let text = snapshot(n);
+                let us = self.median_us(|| Ok(gateway.apply(&text)?))?;
+                Ok(us / 1000.0)
+            })?;
+        let requirement = |curve: &CostCurve| {
+            Requirement::at_most(MAX_SNAPSHOT_MS, "under 50 ms", curve.value_at_largest_size())
         };
-        let first_limit = limit(&first);
-        let repeated_limit = limit(&repeated);
+        let first_requirement = requirement(&first);
+        let repeated_requirement = requirement(&repeated);
         Ok(vec![
-            per_entry("one list entry applied, first", &first),
-            per_entry("one list entry applied, repeated", &repeated),
-            first.require(first_limit),
-            repeated.require(repeated_limit),
-            self.by_size("endpoint list snapshot, its text", "bytes", Dimension::Endpoints, |n| {
+            cost_per_entry("one list entry applied, first", &first),
+            cost_per_entry("one list entry applied, repeated", &repeated),
+            first.with_requirement(first_requirement),
+            repeated.with_requirement(repeated_requirement),
+            self.cost_by_size("endpoint list snapshot, its text", "bytes", Dimension::Endpoints, |n| {
                 Ok(snapshot(n).len() as f64)
             })?,
         ])
     }
 
-    fn snapshot_over_socket(&self) -> Result<Slope, SlopesError> {
+    fn snapshot_over_socket(&self) -> Result<CostCurve, MeasurementError> {
         let name = "endpoint list snapshot over a socket";
-        let slope = self.by_size(name, "1 if read", Dimension::Endpoints, |n| {
+        let curve = self.cost_by_size(name, "1 if read", Dimension::Endpoints, |n| {
             Ok(f64::from(u8::from(is_snapshot_applied(n)?)))
         })?;
-        let unread = slope.points.iter().filter(|point| point.value < 1.0).count() as f64;
-        let limit = Limit { description: "sizes that are not read: none", value: unread, limit: 0.0 };
-        Ok(slope.unfitted().require(limit))
+        let unread = curve.points.iter().filter(|point| point.value < 1.0).count() as f64;
+        let requirement = Requirement::at_most(0.0, "sizes that are not read: none", unread);
+        Ok(curve.without_fit().with_requirement(requirement))
     }
 
-    fn deltas(&self) -> Result<Vec<Slope>, SlopesError> {
-        let applied = self.by_size("delta of 10 endpoints", "us", Dimension::Endpoints, |n| {
-            let mut gateway = MeasuredGateway::with_list(FleetSize::in_proportion(n))?;
+    fn delta_times(&self) -> Result<Vec<CostCurve>, MeasurementError> {
+        let applied = self.cost_by_size("delta of 10 endpoints", "us", Dimension::Endpoints, |n| {
+            let mut gateway = MeasuredGateway::with_list(FleetSize::proportional(n))?;
             let mut round = 0;
             self.median_us(|| {
                 round += 1;
@@ -205,69 +212,71 @@
             })
         })?;
         let next_request =
-            self.by_size("first request after such a delta", "us", Dimension::Endpoints, |n| {
-                let mut gateway = MeasuredGateway::with_list(FleetSize::in_proportion(n))?;
+            self.cost_by_size("first request after such a delta", "us", Dimension::Endpoints, |n| {
+                let mut gateway = MeasuredGateway::with_list(FleetSize::proportional(n))?;
                 let mut round = 0;
                 self.median_us(|| {
                     round += 1;
-                    gateway.advance();
+                    gateway.advance_clock();
                     gateway.apply(&delta(round))?;
-                    Ok(gateway.request(&tenant_name(1), &route_name(0))?.time)
+                    Ok(gateway.run_request(&tenant_name(1), &route_name(0))?.time)
                 })
             })?;
-        let limit = Limit {
-            description: "largest over smallest: at most 4 times (130 if every endpoint were visited)",
-            value: applied.growth(),
-            limit: MAX_DELTA_GROWTH,
-        };
-        Ok(vec![applied.require(limit), next_request])
+        let requirement = Requirement::at_most(
+            MAX_DELTA_GROWTH,
+            "largest over smallest: at most 4 times (130 if every endpoint were visited)",
+            applied.growth(),
+        );
+        Ok(vec![applied.with_requirement(requirement), next_request])
     }
 
-    fn maintenance(&self) -> Result<Vec<Slope>, SlopesError> {
+    fn maintenance_times(&self) -> Result<Vec<CostCurve>, MeasurementError> {
         let by_endpoints =
-            self.by_size("maintenance tick, endpoints known", "us", Dimension::Endpoints, |n| {
-                let mut gateway = MeasuredGateway::with_list(FleetSize::in_proportion(n))?;
-                self.median_us(|| Ok(gateway.maintain()))
+            self.cost_by_size("maintenance tick, endpoints known", "us", Dimension::Endpoints, |n| {
+                let mut gateway = MeasuredGateway::with_list(FleetSize::proportional(n))?;
+                self.median_us(|| Ok(gateway.run_maintenance()))
+            })?;
+        let by_tenants =
+            self.cost_by_size("maintenance tick, tenants known", "us", Dimension::Tenants, |n| {
+                let mut gateway = MeasuredGateway::with_tenants(n)?;
+                self.median_us(|| Ok(gateway.run_maintenance()))
             })?;
-        let by_tenants = self.by_size("maintenance tick, tenants known", "us", Dimension::Tenants, |n| {
-            let mut gateway = MeasuredGateway::with_tenants(n)?;
-            self.median_us(|| Ok(gateway.maintain()))
-        })?;
         Ok(vec![by_endpoints, by_tenants])
     }
 
-    fn new_leases(&self) -> Result<Slope, SlopesError> {
+    fn new_lease_time(&self) -> Result<CostCurve, MeasurementError> {
         let name = "new lease: arrival, counter call, reply";
-        self.by_size(name, "us", Dimension::Tenants, |n| {
+        self.cost_by_size(name, "us", Dimension::Tenants, |n| {
             let mut gateway = MeasuredGateway::with_tenants(n)?;
             let mut new_tenant = n;
             self.median_us(|| {
                 new_tenant += 1;
-                let cost = gateway.request(&tenant_name(new_tenant), &route_name(0))?;
-                if cost.counter_calls == 1 { Ok(cost.time) } else { Err(SlopesError::NoCounterCall) }
+                let cost = gateway.run_request(&tenant_name(new_tenant), &route_name(0))?;
+                if cost.counter_calls == 1 { Ok(cost.time) } else { Err(MeasurementError::NoCounterCall) }
             })
         })
     }
 
-    fn memory(&self) -> Result<Vec<Slope>, SlopesError> {
-        let by_tenants = self.by_size("a gateway with tenants known", "bytes", Dimension::Tenants, |n| {
-            Ok((self.memory)(MemoryLoad::Tenants, n)? as f64)
-        })?;
+    fn memory_growth(&self) -> Result<Vec<CostCurve>, MeasurementError> {
+        let by_tenants =
+            self.cost_by_size("a gateway with tenants known", "bytes", Dimension::Tenants, |n| {
+                Ok((self.memory_probe)(MemoryLoad::Tenants, n)? as f64)
+            })?;
         let by_endpoints =
-            self.by_size("a gateway with idle endpoints", "bytes", Dimension::Endpoints, |n| {
-                Ok((self.memory)(MemoryLoad::Endpoints, n)? as f64)
+            self.cost_by_size("a gateway with idle endpoints", "bytes", Dimension::Endpoints, |n| {
+                Ok((self.memory_probe)(MemoryLoad::Endpoints, n)? as f64)
             })?;
         Ok(vec![by_tenants, by_endpoints])
     }
 }
 
-/// [`ALTERNATING_NAMES`] names that are spread evenly over `count`.
+/// Returns [`ALTERNATING_NAMES`] names whose numbers are spaced evenly below `count`.
 fn alternating_names(count: usize, name: impl Fn(usize) -> Name) -> Vec<Name> {
     (0..ALTERNATING_NAMES).map(|n| name(n * count / ALTERNATING_NAMES)).collect()
 }
 
-/// A figure in ms per list as one in µs per entry.
-fn per_entry(name: &'static str, list: &Slope) -> Slope {
+/// Converts a cost in ms per list to one in µs per entry.
+fn cost_per_entry(name: &'static str, list_cost: &CostCurve) -> CostCurve {
     let per_entry = |point: &Point| Point { size: point.size, value: point.value * 1000.0 / point.size };
-    Slope::fitted(name, "us", Dimension::Endpoints, list.points.iter().map(per_entry).collect())
+    CostCurve::fitted(name, "us", Dimension::Endpoints, list_cost.points.iter().map(per_entry).collect())
 }
--- a/fleet/src/slopes/measured_gateway.rs
+++ b/fleet/src/slopes/measured_gateway.rs
@@ -1,7 +1,7 @@
 //! The gateway code that is measured: a policy engine and an endpoint registry, with a clock and counter
-//! totals kept here.
+//! totals that the benchmark controls.
 
-use super::error::SlopesError;
+use super::error::MeasurementError;
 use super::fit::Dimension;
 use crate::endpoint_list::{CONNECT_TIMEOUT_MS, EndpointList, EndpointListError, Registry};
 use crate::gateway_process::{CROSS_ZONE_COST, MAX_ATTEMPTS};
@@ -14,26 +14,28 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Gateways at the target.
+/// The number of gateways at the target size of the fleet.
 const TARGET_GATEWAYS: u32 = 3_100;
-/// The fewest gateways of any size.
+/// The lower bound on the number of gateways at any size.
 pub(super) const MIN_GATEWAYS: u32 = 300;
-/// The time between two requests at one gateway, of 490,000 requests per second over 3,100 gateways.
+/// The time between two requests at one gateway: 490,000 requests per second, divided by 3,100 gateways, are
+/// 158 per second.
 const REQUEST_INTERVAL: Millis = 1000.0 / 158.0;
-/// The version of a snapshot.
+/// The version of a snapshot; those of deltas follow.
 pub(super) const FIRST_VERSION: u64 = 1;
-/// Endpoints that one delta changes.
+/// The number of endpoints that a delta changes.
 const DELTA_SIZE: usize = 10;
-/// The distance between the endpoints that a delta changes, so that they belong to different cells and zones.
+/// The distance between the numbers of the endpoints that a delta changes, so that they are in different
+/// cells and zones.
 const DELTA_STRIDE: usize = 7;
 const ZONES: u32 = 6;
 const CELL_SIZE: u64 = 24;
 const SEED: u64 = 7;
-/// The gateway's clock at the start.
+/// The initial time of the gateway's clock.
 const EPOCH: Millis = 1e9;
 const TICK: Millis = 1.0;
 const PLAN_NAME: &str = "plan";
-/// Units per second: many for each gateway, so that no request is rejected.
+/// Units per second; high enough that no gateway rejects a request.
 const PLAN_RATE: f64 = 1000.0;
 const PLAN_BURST: f64 = 10_000.0;
 const COUNTER_TIMEOUT: Millis = 30.0;
@@ -48,7 +50,7 @@
 const COUNTER_LATENCY: Millis = 1.0;
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The size of the fleet that a gateway is part of, and of its settings.
+/// The size of a gateway's fleet, and the number of routes in its settings.
 #[derive(Clone, Copy)]
 pub(super) struct FleetSize {
     pub(super) endpoints: usize,
@@ -57,18 +59,18 @@
 }
 
 impl FleetSize {
-    /// The smallest fleet.
-    pub(super) const ONE: Self = Self { endpoints: 1, gateways: 1, routes: 1 };
+    pub(super) const MINIMAL: Self = Self { endpoints: 1, gateways: 1, routes: 1 };
 
-    /// A number of endpoints with one route, and with gateways in proportion to the target.
-    pub(super) fn in_proportion(endpoints: usize) -> Self {
-        let target_endpoints = Dimension::Endpoints.target() as f64;
-        let proportional = endpoints as f64 * f64::from(TARGET_GATEWAYS) / target_endpoints;
-        Self { endpoints, gateways: MIN_GATEWAYS.max(proportional as u32), routes: 1 }
+    /// A fleet with one route whose ratio of gateways to endpoints is that of the target, but with at least
+    /// [`MIN_GATEWAYS`] gateways.
+    pub(super) fn proportional(endpoints: usize) -> Self {
+        let target_endpoints = Dimension::Endpoints.target_size() as f64;
+        let gateways = endpoints as f64 * f64::from(TARGET_GATEWAYS) / target_endpoints;
+        Self { endpoints, gateways: MIN_GATEWAYS.max(gateways as u32), routes: 1 }
     }
 }
 
-/// The settings of a gateway in a fleet of this size.
+/// The settings of a gateway in a fleet of a size.
 pub(super) fn settings(size: FleetSize) -> Settings {
     Settings {
         gateway_count: size.gateways,
@@ -122,14 +124,14 @@
     }
 }
 
-/// The text of a complete list.
+/// The text of a snapshot whose endpoints are all ready.
 pub(super) fn snapshot(endpoints: usize) -> String {
     let entries: Vec<_> = (0..endpoints).map(|n| list_entry(n, EndpointState::Ready)).collect();
     list_text(FIRST_VERSION, ListKind::Snapshot, &entries)
 }
 
-/// The text of a list that changes ten endpoints: five drain, and the five that drained before are ready
-/// again.
+/// The text of a delta of ten endpoints: five start to drain, and the five that drained in the round before
+/// are ready again.
 pub(super) fn delta(round: usize) -> String {
     let half = DELTA_SIZE / 2;
     let entry = |n: usize| {
@@ -140,9 +142,9 @@
     list_text(FIRST_VERSION + 1 + round as u64, ListKind::Delta, &entries)
 }
 
-/// The cost of a request.
+/// What a request costs.
 pub(super) struct RequestCost {
-    /// The time in the policy engine.
+    /// The time spent in the policy engine.
     pub(super) time: Duration,
     pub(super) counter_calls: usize,
 }
@@ -153,52 +155,52 @@
     registry: Registry,
     now: Millis,
     last_request: u64,
-    /// The totals of the counter.
-    totals: HashMap<u64, f64>,
+    /// The totals of the counter, by key.
+    counter_totals: HashMap<u64, f64>,
 }
 
 impl MeasuredGateway {
-    /// A gateway that has no endpoint list.
+    /// Creates a gateway that has no endpoint list.
     pub(super) fn without_list(size: FleetSize) -> Result<Self, SettingsError> {
         Ok(Self {
             engine: PolicyEngine::new(settings(size), SEED)?,
             registry: Registry::new(IDLE_TIMEOUT),
             now: EPOCH,
             last_request: 0,
-            totals: HashMap::new(),
+            counter_totals: HashMap::new(),
         })
     }
 
-    /// A gateway that knows all endpoints.
-    pub(super) fn with_list(size: FleetSize) -> Result<Self, SlopesError> {
+    /// Creates a gateway that has applied a snapshot of all endpoints.
+    pub(super) fn with_list(size: FleetSize) -> Result<Self, MeasurementError> {
         let mut gateway = Self::without_list(size)?;
         gateway.apply(&snapshot(size.endpoints))?;
         Ok(gateway)
     }
 
-    /// A gateway that has had one request of each of `tenants` tenants.
-    pub(super) fn with_tenants(tenants: usize) -> Result<Self, SlopesError> {
-        let mut gateway = Self::with_list(FleetSize::ONE)?;
+    /// Creates a gateway with one endpoint that has processed a request from each of `tenants` tenants.
+    pub(super) fn with_tenants(tenants: usize) -> Result<Self, MeasurementError> {
+        let mut gateway = Self::with_list(FleetSize::MINIMAL)?;
         gateway.add_tenants(tenants)?;
         Ok(gateway)
     }
 
-    /// Runs one request of each of `tenants` tenants.
-    pub(super) fn add_tenants(&mut self, tenants: usize) -> Result<(), SlopesError> {
+    /// Processes a request from each of `tenants` tenants.
+    pub(super) fn add_tenants(&mut self, tenants: usize) -> Result<(), MeasurementError> {
         for n in 0..tenants {
-            self.request(&tenant_name(n), &route_name(0))?;
-            // The totals are not needed again, and would be measured with the tenants.
-            self.totals.clear();
+            self.run_request(&tenant_name(n), &route_name(0))?;
+            // Counter totals are not needed again, and their memory must not be measured with the tenants'.
+            self.counter_totals.clear();
         }
         Ok(())
     }
 
-    /// Advances the clock to the next request.
-    pub(super) fn advance(&mut self) {
+    /// Advances the clock to the time of the next request.
+    pub(super) fn advance_clock(&mut self) {
         self.now += REQUEST_INTERVAL;
     }
 
-    /// Reads and applies a list, as a real gateway does, and returns how long that took.
+    /// Parses and applies an endpoint list as a gateway does, and returns the time that this took.
     pub(super) fn apply(&mut self, text: &str) -> Result<Duration, EndpointListError> {
         let start = Instant::now();
         let list = EndpointList::parse(text.as_bytes())?;
@@ -207,8 +209,13 @@
         Ok(start.elapsed())
     }
 
-    /// Runs one request to its end, with immediate responses. Fails unless it was forwarded exactly once.
-    pub(super) fn request(&mut self, tenant: &Name, class: &Name) -> Result<RequestCost, SlopesError> {
+    /// Processes a request until no event is left. The counter and the endpoint respond immediately.
+    ///
+    /// # Errors
+    /// When the request was not forwarded exactly once.
+    pub(super) fn run_request(
+        &mut self, tenant: &Name, class: &Name,
+    ) -> Result<RequestCost, MeasurementError> {
         let mut cost = RequestCost { time: Duration::ZERO, counter_calls: 0 };
         let mut forwarded = 0;
         let mut events = vec![self.arrival(tenant, class)];
@@ -231,7 +238,7 @@
                 }
             }
         }
-        if forwarded == 1 { Ok(cost) } else { Err(SlopesError::NotForwarded) }
+        if forwarded == 1 { Ok(cost) } else { Err(MeasurementError::NotForwarded) }
     }
 
     fn arrival(&mut self, tenant: &Name, class: &Name) -> Event {
@@ -250,13 +257,13 @@
     }
 
     fn counter_reply(&mut self, key: u64, amount: f64) -> Event {
-        let total = self.totals.entry(key).or_default();
+        let total = self.counter_totals.entry(key).or_default();
         *total += amount;
         Event::CounterReply { key, result: CounterResult::Total(*total), latency: COUNTER_LATENCY }
     }
 
-    /// Runs the policy engine's maintenance and returns how long that took.
-    pub(super) fn maintain(&mut self) -> Duration {
+    /// Runs a maintenance tick of the policy engine and returns the time that this took.
+    pub(super) fn run_maintenance(&mut self) -> Duration {
         let mut actions = Vec::new();
         let start = Instant::now();
         self.engine.handle(self.now, Event::Timer { token: MAINTENANCE_TOKEN }, &mut actions);
--- a/fleet/src/slopes/memory.rs
+++ b/fleet/src/slopes/memory.rs
@@ -1,26 +1,27 @@
-//! The growth of this process's resident memory.
+//! Measures the growth of this process's resident memory.
 
-use super::error::SlopesError;
+use super::error::MeasurementError;
 use super::measured_gateway::{FleetSize, MeasuredGateway, snapshot};
 use std::io;
 
-/// What uses the memory.
+/// What a gateway is given before the memory it uses is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemoryLoad {
-    /// Tenants whose requests a gateway has had.
+    /// One request from each of a number of tenants.
     Tenants,
-    /// Endpoints that a gateway knows, with no connection to any.
+    /// An endpoint list; no connection is opened to any endpoint.
     Endpoints,
 }
 
-/// Returns by how many bytes this process grows as a gateway in it is given a load. To be called in a
-/// separate process.
+/// Returns by how many bytes the resident memory of this process grows when a gateway in it is given `size`
+/// tenants or endpoints. Call it only once in a process, so that memory freed before is not reused.
 ///
 /// # Errors
-/// When the memory cannot be read or the gateway's code rejects what it is given.
-pub fn measure_memory(load: MemoryLoad, size: usize) -> Result<u64, SlopesError> {
+/// When the memory cannot be read, or the gateway's code rejects the settings, the endpoint list or a
+/// request.
+pub fn measure_memory(load: MemoryLoad, size: usize) -> Result<u64, MeasurementError> {
     let list = snapshot(if load == MemoryLoad::Endpoints { size } else { 1 });
-    let mut gateway = MeasuredGateway::without_list(FleetSize::in_proportion(size))?;
+    let mut gateway = MeasuredGateway::without_list(FleetSize::proportional(size))?;
     let before = resident_bytes()?;
     gateway.apply(&list)?;
     if load == MemoryLoad::Tenants {
@@ -30,9 +31,10 @@
 }
 
 fn resident_bytes() -> io::Result<u64> {
-    /// The usual size on Linux.
+    /// The usual page size on Linux.
     const PAGE_BYTES: u64 = 4096;
     let statm = std::fs::read_to_string("/proc/self/statm")?;
+    // The second field is the number of resident pages.
     let pages = statm.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok());
     pages.map(|pages| pages * PAGE_BYTES).ok_or_else(|| io::ErrorKind::InvalidData.into())
 }
--- a/fleet/src/slopes/mod.rs
+++ b/fleet/src/slopes/mod.rs
@@ -1,14 +1,16 @@
-//! What each endpoint, tenant and route costs a gateway, in time and in bytes: the gateway's real code, on a
-//! clock and counter totals kept by the benchmark. A line or a logarithm is fitted through the points and
-//! evaluated at the target size.
+//! Measures what each endpoint, tenant and route costs a gateway, in time and in bytes.
 //!
-//! - `measure`: which figures are measured, and what is required of them.
-//! - `measured_gateway`: the gateway code that is measured, and its size.
-//! - `list_watch`: an endpoint list over a loopback socket.
-//! - `memory`: the growth of a process.
-//! - `fit`: the fitted line; `table`: the output.
+//! The gateway's real code runs with a clock and a counter that the benchmark controls. Each cost is measured
+//! at several sizes; a line or a logarithm is fitted to the points and evaluated at the target size.
 //!
-//! Times are medians by the monotonic clock. Bytes are the growth of the process's resident memory, in a
+//! - `measure`: the measured costs and the requirements on them.
+//! - `measured_gateway`: the gateway code that is measured, and the settings it runs with.
+//! - `list_watch`: checks that an endpoint list is read over a loopback socket.
+//! - `memory`: the growth of a process's resident memory.
+//! - `fit`: cost curves, fitted functions and requirements.
+//! - `table`: output as JSON or Markdown.
+//!
+//! Times are medians, measured by the monotonic clock. Bytes are the growth of the resident memory of a
 //! separate process for each size, so that memory freed before is not reused.
 
 mod error;
@@ -19,8 +21,8 @@
 mod memory;
 mod table;
 
-pub use error::SlopesError;
-pub use fit::{Dimension, Fit, Point, Requirement, Slope};
+pub use error::MeasurementError;
+pub use fit::{CostCurve, Dimension, Fit, Point, Requirement};
 pub use measure::{MemoryProbe, Sizes, measure};
 pub use memory::{MemoryLoad, measure_memory};
 pub use table::{json, table};
--- a/fleet/src/slopes/table.rs
+++ b/fleet/src/slopes/table.rs
@@ -1,59 +1,60 @@
-//! The output of all figures: as JSON, and as Markdown tables.
+//! Formats cost curves as JSON and as Markdown tables.
 
-use super::fit::Slope;
+use super::fit::CostCurve;
 use std::fmt::Write;
 
-/// All figures as JSON: an array of objects, with a line feed at its end.
+/// Serializes cost curves as an indented JSON array with a trailing line feed.
 ///
 /// # Panics
-/// Never: all figures can be written as JSON.
-pub fn json(slopes: &[Slope]) -> String {
-    serde_json::to_string_pretty(slopes).expect("all figures can be written as JSON") + "\n"
+/// Never: a cost curve contains only strings, numbers and booleans, which always serialize.
+pub fn json(curves: &[CostCurve]) -> String {
+    serde_json::to_string_pretty(curves).expect("cost curves serialize as JSON") + "\n"
 }
 
-/// All figures as a table, and what is required of them as another.
-pub fn table(slopes: &[Slope]) -> String {
+/// Formats cost curves as a Markdown table, followed by a second one with their requirements.
+pub fn table(curves: &[CostCurve]) -> String {
     let mut text = String::from(
         "| figure | unit | size: value | fit | slope | at target |\n| --- | --- | --- | --- | --- | --- |\n",
     );
-    for slope in slopes {
-        text.push_str(&figure_row(slope));
+    for curve in curves {
+        text.push_str(&cost_row(curve));
     }
     text.push_str("\n| figure | required | found | met |\n| --- | --- | --- | --- |\n");
-    for slope in slopes {
-        text.push_str(&requirement_row(slope));
+    for curve in curves {
+        text.push_str(&requirement_row(curve));
     }
     text
 }
 
-fn figure_row(slope: &Slope) -> String {
+fn cost_row(curve: &CostCurve) -> String {
     let points: Vec<String> =
-        slope.points.iter().map(|point| format!("{}: {}", point.size, figure(point.value))).collect();
+        curve.points.iter().map(|point| format!("{}: {}", point.size, format_value(point.value))).collect();
     format!(
         "| {} | {} | {} {} | {} | {:.6} | {} at {} |\n",
-        slope.name,
-        slope.unit,
-        slope.size.label(),
+        curve.name,
+        curve.unit,
+        curve.size.label(),
         points.join(", "),
-        slope.fit.label(),
-        slope.slope,
-        figure(slope.at_target),
-        slope.target
+        curve.fit.label(),
+        curve.slope,
+        format_value(curve.at_target),
+        curve.target
     )
 }
 
-/// Empty for a figure of which nothing is required.
-fn requirement_row(slope: &Slope) -> String {
+/// Returns an empty string for a cost without a requirement.
+fn requirement_row(curve: &CostCurve) -> String {
     let mut row = String::new();
-    if let Some(requirement) = &slope.requirement {
+    if let Some(requirement) = &curve.requirement {
         let met = if requirement.met { "yes" } else { "NO" };
-        let found = figure(requirement.value);
+        let found = format_value(requirement.value);
         // Writing to a String cannot fail.
-        let _ = writeln!(row, "| {} | {} | {found} | {met} |", slope.name, requirement.description);
+        let _ = writeln!(row, "| {} | {} | {found} | {met} |", curve.name, requirement.description);
     }
     row
 }
 
-fn figure(value: f64) -> String {
+/// Three decimals below 1000, none above.
+fn format_value(value: f64) -> String {
     if value.abs() < 1000.0 { format!("{value:.3}") } else { format!("{value:.0}") }
 }
--- a/fleet/tests/slopes.rs
+++ b/fleet/tests/slopes.rs
@@ -1,6 +1,6 @@
 //! The fitted functions and the form of the output of `slopes`. Measured times are not tested.
 
-use ryefront_fleet::slopes::{Dimension, Fit, MemoryLoad, Point, Sizes, Slope, json, measure};
+use ryefront_fleet::slopes::{CostCurve, Dimension, Fit, MemoryLoad, Point, Sizes, json, measure};
 use std::process::Command;
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
         let of = |x: f64| 3.0 + 0.5 * if fit == Fit::Log { x.ln() } else { x };
         let points = sizes.map(|size| Point { size, value: of(size) }).to_vec();
 
-        let slope = Slope::fitted("a figure", "us", Dimension::Endpoints, points);
+        let curve = CostCurve::fitted("a cost", "us", Dimension::Endpoints, points);
 
-        assert_eq!(slope.fit, fit);
-        let found = [slope.slope, slope.intercept, slope.at_target];
+        assert_eq!(curve.fit, fit);
+        let found = [curve.slope, curve.intercept, curve.at_target];
         let wanted = [0.5, 3.0, of(26_000.0)];
         assert!(
             found.iter().zip(wanted).all(|(f, w)| (f - w).abs() < 1e-6),
@@ -29,7 +29,7 @@
         endpoints: vec![20, 60],
         tenants: vec![10, 2000],
         routes: vec![1, 10],
-        measured_for: Duration::ZERO,
+        repeat_for: Duration::ZERO,
     };
     let memory = |load, size: usize| {
         let load = if load == MemoryLoad::Tenants { "tenants" } else { "endpoints" };
