--- a/fleet/src/report/result.rs
+++ b/fleet/src/report/result.rs
@@ -4,7 +4,7 @@
 use super::metrics::{Metrics, RejectionReason};
 use super::rounding::{fraction, round};
 use crate::counter::CounterStatistics;
-use crate::endpoints::Endpoints;
+use crate::endpoints::{Endpoint, Endpoints};
 use crate::experiment::Experiment;
 use crate::gateway_process::{GatewayProcess, ListBytes};
 use hdrhistogram::Histogram;
@@ -95,7 +95,9 @@
 }
 
 impl Spread {
-    fn from_counts(counts: impl Iterator<Item = u64> + Clone) -> Self {
+    fn from_endpoints(endpoints: &Endpoints, count: impl Fn(&Endpoint) -> u64) -> Self {
+        let always_ready = endpoints.iter().filter(|endpoint| endpoint.was_always_ready());
+        let counts = always_ready.map(&count);
         let max = counts.clone().max().unwrap_or(0);
         let endpoint_count = counts.clone().count().max(1);
         let mean = counts.sum::<u64>() as f64 / endpoint_count as f64;
@@ -235,7 +237,6 @@
     pub(crate) fn new(input: &ReportInput) -> Self {
         let ReportInput { experiment, endpoints, counter, metrics, .. } = input;
         let scale = SimulatedScale::from_input(input);
-        let always_ready = || endpoints.iter().filter(|endpoint| endpoint.was_always_ready());
         Self {
             experiment: experiment.name.clone(),
             seed: input.seed,
@@ -256,10 +257,8 @@
             over_quota_fraction: fraction(metrics.over_quota, metrics.served),
             added_ms: Percentiles::from_histogram(&metrics.added_latency),
             latency_ms: Percentiles::from_histogram(&metrics.latency),
-            attempts_per_endpoint: Spread::from_counts(always_ready().map(|endpoint| endpoint.attempts())),
-            gateways_per_endpoint: Spread::from_counts(
-                always_ready().map(|endpoint| u64::from(endpoint.sender_count())),
-            ),
+            attempts_per_endpoint: Spread::from_endpoints(endpoints, Endpoint::attempts),
+            gateways_per_endpoint: Spread::from_endpoints(endpoints, |e| e.sender_count().into()),
             counter: CounterCalls::from_statistics(
                 *counter,
                 experiment.duration_s,
