--- a/fleet/src/discovery.rs
+++ b/fleet/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: the endpoint lists it publishes, and the changes it collects.
 
 use crate::endpoint_list::{EndpointList, EndpointListError};
-use crate::list_format::{ListEntry, ListKind, list_text};
+use crate::list_format::{ListEntry, ListKind, format_list};
 
 /// A list that was published.
 pub(crate) struct PublishedList {
@@ -54,7 +54,7 @@
     }
 
     fn publish(&mut self, kind: ListKind, entries: &[ListEntry]) -> Result<usize, EndpointListError> {
-        let text = list_text(self.published.len() as u64 + 1, kind, entries);
+        let text = format_list(self.published.len() as u64 + 1, kind, entries);
         let list = EndpointList::parse(text.as_bytes())?;
         self.published.push(PublishedList { list, bytes: text.len() as u64 });
         Ok(self.published.len() - 1)
--- a/fleet/src/endpoint_list.rs
+++ b/fleet/src/endpoint_list.rs
@@ -27,18 +27,18 @@
     }
 
     /// The list as an event for the policy engine.
-    pub(crate) fn event(&self) -> Event {
-        self.event_with(self.0.endpoints.iter().map(|endpoint| endpoint.entry.clone()).collect())
+    pub(crate) fn to_event(&self) -> Event {
+        self.event_from(self.0.endpoints.iter().map(|endpoint| endpoint.entry.clone()).collect())
     }
 
     /// The same without a copy of the entries.
     pub(crate) fn into_event(mut self) -> Event {
         let entries =
             std::mem::take(&mut self.0.endpoints).into_iter().map(|endpoint| endpoint.entry).collect();
-        self.event_with(entries)
+        self.event_from(entries)
     }
 
-    fn event_with(&self, entries: Vec<EndpointEntry>) -> Event {
+    fn event_from(&self, entries: Vec<EndpointEntry>) -> Event {
         if self.is_snapshot() { Event::EndpointSnapshot(entries) } else { Event::EndpointDelta(entries) }
     }
 }
--- a/fleet/src/gateway_process.rs
+++ b/fleet/src/gateway_process.rs
@@ -121,6 +121,6 @@
         if let Some(registry) = &self.registry {
             registry.apply(&published.list);
         }
-        published.list.event()
+        published.list.to_event()
     }
 }
--- a/fleet/src/list_format.rs
+++ b/fleet/src/list_format.rs
@@ -50,7 +50,7 @@
 }
 
 /// The number of the endpoint with a name.
-pub(crate) fn endpoint_number(name: &str) -> Option<usize> {
+pub(crate) fn parse_endpoint_name(name: &str) -> Option<usize> {
     usize::from_str_radix(name.strip_prefix(ENDPOINT_NAME_PREFIX)?, 16).ok()
 }
 
@@ -59,7 +59,7 @@
 }
 
 /// A list as JSON. Its addresses are placeholders, as nothing connects to them.
-pub(crate) fn list_text<'a>(
+pub(crate) fn format_list<'a>(
     version: u64, kind: ListKind, entries: impl IntoIterator<Item = &'a ListEntry>,
 ) -> String {
     let is_snapshot = kind == ListKind::Snapshot;
--- a/fleet/src/setup.rs
+++ b/fleet/src/setup.rs
@@ -13,7 +13,7 @@
 const GATEWAY_START_SPREAD: Micros = 25_000;
 
 /// Draws when a gateway receives its first endpoint list.
-pub(crate) fn gateway_start(random: &mut Random) -> Micros {
+pub(crate) fn gateway_start_time(random: &mut Random) -> Micros {
     random.below(GATEWAY_START_SPREAD as usize) as Micros
 }
 
--- a/fleet/src/simulation.rs
+++ b/fleet/src/simulation.rs
@@ -10,7 +10,7 @@
 use crate::event_queue::{EventQueue, ReplacementStep, Scheduled, SimEvent};
 use crate::experiment::Experiment;
 use crate::gateway_process::GatewayProcess;
-use crate::list_format::{ListEntry, endpoint_number};
+use crate::list_format::{ListEntry, parse_endpoint_name};
 use crate::network::Network;
 use crate::random::{Random, Stream};
 use crate::report::{Metrics, RejectionReason, Report, ReportInput, WorstRatios, worst_quota_usage};
@@ -87,7 +87,7 @@
         let entries: Vec<ListEntry> = (0..endpoint_count).map(|n| self.endpoints.list_entry(n)).collect();
         let list = self.discovery.publish_snapshot(&entries)?;
         for gateway in 0..self.gateways.len() as u32 {
-            let at = setup::gateway_start(random);
+            let at = setup::gateway_start_time(random);
             self.events.schedule(at, SimEvent::ListReceived { gateway, list });
         }
         self.schedule_publication();
@@ -199,7 +199,7 @@
     }
 
     fn forward(&mut self, gateway: u32, id: u64, endpoint_name: Name) {
-        let endpoint = endpoint_number(&endpoint_name).filter(|number| *number < self.endpoints.count());
+        let endpoint = parse_endpoint_name(&endpoint_name).filter(|number| *number < self.endpoints.count());
         let attempt = self.requests.client_attempts.get(id).filter(|attempt| attempt.in_flight.is_none());
         let (Some(endpoint), Some(_)) = (endpoint, attempt) else {
             // A real gateway reports such an attempt as not sent; here it is a fault of the policy.
--- a/fleet/src/slopes/measured_gateway.rs
+++ b/fleet/src/slopes/measured_gateway.rs
@@ -5,7 +5,7 @@
 use super::fit::Dimension;
 use crate::endpoint_list::{CONNECT_TIMEOUT_MS, EndpointList, EndpointListError, Registry};
 use crate::gateway_process::{CROSS_ZONE_COST, MAX_ATTEMPTS};
-use crate::list_format::{ListEntry, ListKind, list_text};
+use crate::list_format::{ListEntry, ListKind, format_list};
 use ryefront_policy::{
     Action, Arrival, AttemptEnd, CounterResult, DedupScope, EndpointState, Event, Idempotency,
     LoadReportSource, MAINTENANCE_TOKEN, Millis, Name, Outcome, PolicyEngine, QuotaPlan, RequestClass,
@@ -127,7 +127,7 @@
 /// The text of a snapshot whose endpoints are all ready.
 pub(super) fn snapshot(endpoints: usize) -> String {
     let entries: Vec<_> = (0..endpoints).map(|n| list_entry(n, EndpointState::Ready)).collect();
-    list_text(FIRST_VERSION, ListKind::Snapshot, &entries)
+    format_list(FIRST_VERSION, ListKind::Snapshot, &entries)
 }
 
 /// The text of a delta of ten endpoints: five start to drain, and the five that drained in the round before
@@ -139,7 +139,7 @@
         list_entry(n * DELTA_STRIDE, if drains { EndpointState::Draining } else { EndpointState::Ready })
     };
     let entries: Vec<_> = (0..DELTA_SIZE).map(entry).collect();
-    list_text(FIRST_VERSION + 1 + round as u64, ListKind::Delta, &entries)
+    format_list(FIRST_VERSION + 1 + round as u64, ListKind::Delta, &entries)
 }
 
 /// What a request costs.
