--- a/fleet/src/endpoint_list.rs
+++ b/fleet/src/endpoint_list.rs
@@ -1,5 +1,6 @@
-//! The gateway's real endpoint list code: its parser and its registry. Nothing else of the gateway is used,
-//! except the watch, its timing and the engine in `slopes::list_watch`.
+//! Wraps the gateway's real endpoint list parser and endpoint registry. These are the only parts of the
+//! gateway crate that the model uses, except for the endpoint watch, its timing and the engine in
+//! `slopes::list_watch`.
 
 use ryefront_gateway::discovery::EndpointList as ParsedList;
 pub(crate) use ryefront_gateway::discovery::EndpointListError;
@@ -8,11 +9,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// File descriptors of a gateway process.
-const FILE_DESCRIPTORS: usize = 1024;
+/// The connection limit of a gateway, which is bounded by the file descriptors of its process.
+const MAX_CONNECTIONS: usize = 1024;
 pub(crate) const CONNECT_TIMEOUT_MS: f64 = 250.0;
 
-/// An endpoint list as the gateway's code reads it.
+/// An endpoint list, parsed by the gateway's code.
 pub(crate) struct EndpointList(ParsedList);
 
 impl EndpointList {
@@ -26,12 +27,12 @@
         self.0.is_snapshot
     }
 
-    /// The list as an event for the policy engine.
+    /// Copies the list's entries into an event for the policy engine.
     pub(crate) fn to_event(&self) -> Event {
         self.event_from(self.0.endpoints.iter().map(|endpoint| endpoint.entry.clone()).collect())
     }
 
-    /// The same without a copy of the entries.
+    /// Converts the list into an event for the policy engine without copying its entries.
     pub(crate) fn into_event(mut self) -> Event {
         let entries =
             std::mem::take(&mut self.0.endpoints).into_iter().map(|endpoint| endpoint.entry).collect();
@@ -43,7 +44,7 @@
     }
 }
 
-/// A real endpoint registry, which has no connections.
+/// A gateway's endpoint registry. The model opens no connections through it.
 #[derive(Clone)]
 pub(crate) struct Registry(Rc<EndpointRegistry>);
 
@@ -53,7 +54,7 @@
             connect_timeout: Duration::from_secs_f64(CONNECT_TIMEOUT_MS / 1000.0),
             endpoint_idle_timeout: idle_timeout,
             load_report_source: LoadReportSource::Responses,
-            max_connections: FILE_DESCRIPTORS,
+            max_connections: MAX_CONNECTIONS,
         }))
     }
 
@@ -61,7 +62,7 @@
         self.0.apply(&list.0);
     }
 
-    pub(crate) fn shared(&self) -> Rc<EndpointRegistry> {
+    pub(crate) fn endpoint_registry(&self) -> Rc<EndpointRegistry> {
         self.0.clone()
     }
 }
--- a/fleet/src/error.rs
+++ b/fleet/src/error.rs
@@ -1,15 +1,15 @@
-//! Why an experiment cannot be simulated.
+//! Errors of a simulation.
 
 use crate::endpoint_list::EndpointListError;
 use ryefront_policy::SettingsError;
 
-/// An experiment that cannot be simulated.
+/// Why an experiment cannot be simulated.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// The policy engine rejects the settings.
     #[error("the policy engine rejects the experiment's settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The gateways' parser rejects a list.
+    /// The gateways' parser rejects an endpoint list.
     #[error("the gateways' parser rejects the model's endpoint list: {0}")]
     List(#[from] EndpointListError),
 }
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,8 +1,9 @@
 //! A model of a fleet of gateways in virtual time.
 //!
-//! The gateways are the real policy engine and the real endpoint list code without sockets. They share one
-//! process and one virtual clock with models of clients, tenants, counter, discovery, network and endpoints.
-//! [`run`] simulates an experiment, [`slopes`] measures what each endpoint, tenant and route costs a gateway.
+//! Each gateway consists of the real policy engine and the real endpoint list code, without sockets. All
+//! gateways run in one process, on one virtual clock, with models of clients, tenants, counter, discovery,
+//! network and endpoints. [`run`] simulates an experiment; [`slopes`] measures what each endpoint, tenant and
+//! route costs a gateway.
 //!
 //! A simulation never reads the time of day: the same experiment and seed give the same result, byte for
 //! byte.
@@ -10,12 +11,14 @@
 //! The modules in reading order:
 //!
 //! - `experiment`: the file that describes a fleet and its load.
-//! - `simulation`: the loop; `event_queue`, `time`, `random` and `setup` serve it.
-//! - `clients`, `tenants`, `attempts`, `requests`: who sends what, and what becomes of it.
+//! - `simulation`: the event loop. `event_queue` holds the events, `time` the virtual clock's units, `random`
+//!   the random number streams, and `setup` creates the fleet.
+//! - `clients`, `tenants`, `attempts`, `requests`: the requests of clients, from arrival to completion.
 //! - `gateway_process`, `connection`, `endpoint_list`, `endpoints`, `counter`, `discovery`, `list_format`,
-//!   `network`: the parts of the fleet.
-//! - `rollout`: the replacement of endpoints.
-//! - `report`: what is counted, and the result.
+//!   `network`: the components of the fleet.
+//! - `rollout`: the rolling replacement of endpoints.
+//! - `report`: counters, invariants and the result.
+//! - `slopes`: cost measurements of a single gateway.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/fleet/src/list_format.rs
+++ b/fleet/src/list_format.rs
@@ -1,5 +1,5 @@
-//! Endpoint lists as text, in the form of the protocol that gateways read. The protocol's names are mapped to
-//! the field's terms here and nowhere else in the model.
+//! Formats endpoint lists as the JSON of the discovery protocol. The protocol's field and state names appear
+//! only here; the rest of the model uses the terms of the policy engine.
 
 use ryefront_policy::{EndpointState, Millis};
 use std::fmt::Write;
@@ -20,12 +20,12 @@
 const DRAINING: &str = "terminating";
 const REMOVED: &str = "terminated";
 
-/// Begins the names of endpoints; their number in hexadecimal digits follows.
+/// The prefix of endpoint names; the endpoint's number follows in hexadecimal digits.
 const ENDPOINT_NAME_PREFIX: &str = "s-";
-/// The port of all endpoints, which nothing connects to.
+/// The port of all endpoints. Nothing connects to it.
 const PORT: u16 = 7070;
-/// The machine kind of all endpoints, which the policy does not use.
-const ANY_MACHINE_KIND: &str = "m2";
+/// The machine kind of all endpoints, which gateways do not read.
+const MACHINE_KIND_VALUE: &str = "m2";
 
 /// One entry of an endpoint list.
 #[derive(Clone, Debug)]
@@ -34,11 +34,11 @@
     pub(crate) zone: u32,
     pub(crate) cell: u64,
     pub(crate) state: EndpointState,
-    /// 0 on the wire: start unknown.
+    /// When the endpoint started, on the gateways' clocks; 0 if unknown.
     pub(crate) started_at: Millis,
 }
 
-/// Whether a list is complete.
+/// Whether a list names all endpoints or only the changed ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListKind {
     Snapshot,
@@ -49,7 +49,7 @@
     format!("{ENDPOINT_NAME_PREFIX}{endpoint:08x}")
 }
 
-/// The number of the endpoint with a name.
+/// Returns the number in an endpoint name; `None` for any other text.
 pub(crate) fn parse_endpoint_name(name: &str) -> Option<usize> {
     usize::from_str_radix(name.strip_prefix(ENDPOINT_NAME_PREFIX)?, 16).ok()
 }
@@ -58,7 +58,7 @@
     format!("zone-{zone}")
 }
 
-/// A list as JSON. Its addresses are placeholders, as nothing connects to them.
+/// Formats a list as JSON. The addresses are placeholders: no connection is made to them.
 pub(crate) fn format_list<'a>(
     version: u64, kind: ListKind, entries: impl IntoIterator<Item = &'a ListEntry>,
 ) -> String {
@@ -79,18 +79,18 @@
     let [_, a, b, c] = entry.endpoint.to_be_bytes();
     let zone = zone_name(entry.zone);
     let cell = entry.cell;
-    let state = state_text(entry.state);
+    let state = state_name(entry.state);
     let started_at = entry.started_at;
     // Writing to a String cannot fail.
     let _ = write!(
         text,
         "{{\"{NAME}\":\"{name}\",\"{ADDRESS}\":\"127.{a}.{b}.{c}:{PORT}\",\"{ZONE}\":\"{zone}\",\
-         \"{MACHINE_KIND}\":\"{ANY_MACHINE_KIND}\",\"{CELL}\":{cell},\"{STATE}\":\"{state}\",\
+         \"{MACHINE_KIND}\":\"{MACHINE_KIND_VALUE}\",\"{CELL}\":{cell},\"{STATE}\":\"{state}\",\
          \"{WEIGHT}\":1.0,\"{STARTED_AT}\":{started_at}}}",
     );
 }
 
-fn state_text(state: EndpointState) -> &'static str {
+fn state_name(state: EndpointState) -> &'static str {
     match state {
         EndpointState::Ready => READY,
         EndpointState::Draining => DRAINING,
--- a/fleet/src/setup.rs
+++ b/fleet/src/setup.rs
@@ -1,4 +1,4 @@
-//! The fleet at the start of a simulation.
+//! Creates the endpoints and gateways of a fleet at the start of a simulation.
 
 use crate::endpoint_list::Registry;
 use crate::endpoints::Endpoints;
@@ -9,15 +9,15 @@
 use ryefront_policy::SettingsError;
 use std::time::Duration;
 
-/// Gateways start within this time, so that their maintenance ticks do not coincide.
+/// Gateways start at random times within this interval, so that their maintenance ticks do not coincide.
 const GATEWAY_START_SPREAD: Micros = 25_000;
 
-/// Draws when a gateway receives its first endpoint list.
+/// Draws the time at which a gateway starts, which is when it receives its first endpoint list.
 pub(crate) fn gateway_start_time(random: &mut Random) -> Micros {
     random.below(GATEWAY_START_SPREAD as usize) as Micros
 }
 
-/// The endpoints of a fraction of the fleet, spread evenly over zones.
+/// Creates the endpoints of a fraction of the fleet, distributed evenly over zones.
 pub(crate) fn endpoints(
     experiment: &Experiment, fraction: f64, gateway_count: u32, random: &mut Random,
 ) -> Endpoints {
@@ -25,16 +25,16 @@
     let zones = experiment.fleet.regions * experiment.fleet.zones_per_region;
     let mut endpoints = Endpoints::new(settings, &experiment.classes, gateway_count);
     let count = ((f64::from(experiment.fleet.endpoints) * fraction).round() as u32).max(1);
-    for n in 0..count {
-        // A cell lies within one zone.
-        let zone = n % zones;
-        let cell = n / zones / settings.cell_size * zones + zone;
+    for number in 0..count {
+        // All endpoints of a cell are in the same zone.
+        let zone = number % zones;
+        let cell = number / zones / settings.cell_size * zones + zone;
         endpoints.add(zone, cell.into(), random.within(settings.speed), None);
     }
     endpoints
 }
 
-/// The gateways, spread evenly over regions and zones.
+/// Creates the gateways, distributed evenly over regions and zones.
 ///
 /// # Errors
 /// When the policy engine rejects their settings.
@@ -44,12 +44,12 @@
     let fleet = &experiment.fleet;
     let with_registry = experiment.scale.gateways_with_registry.unwrap_or(count);
     let idle_timeout = Duration::from_secs_f64(experiment.endpoints.idle_timeout_s);
-    let start = |index: u32| {
+    let create = |index: u32| {
         let region = (u64::from(index) * u64::from(fleet.regions) / u64::from(count)) as u32;
         let zone = region * fleet.zones_per_region + index % fleet.zones_per_region;
         let settings = gateway_process::settings(experiment, count, index, zone);
         let registry = (index < with_registry).then(|| Registry::new(idle_timeout));
         GatewayProcess::new(settings, zone, random.bits(), registry)
     };
-    (0..count).map(start).collect()
+    (0..count).map(create).collect()
 }
--- a/fleet/src/slopes/list_watch.rs
+++ b/fleet/src/slopes/list_watch.rs
@@ -28,7 +28,7 @@
     local.block_on(&runtime, async {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let (_sender, address) = tokio::sync::watch::channel(listener.local_addr()?);
-        let registry = Registry::new(IDLE_TIMEOUT).shared();
+        let registry = Registry::new(IDLE_TIMEOUT).endpoint_registry();
         let settings = Settings { has_counter: false, ..settings(FleetSize::proportional(endpoints)) };
         let engine = Engine::start(settings, SEED, registry, None)?;
         let timing = PollTiming::SHARED_SERVICE;
