--- a/fleet/tests/experiment.rs
+++ b/fleet/tests/experiment.rs
@@ -1,48 +1,52 @@
-//! Experiment files that cannot be used: an error of one line with file, line, key and what was expected, and
-//! status 2.
+//! Errors of the `run` command for unusable experiment files: one line that names the file, the line, the key
+//! and the expected value, and exit status 2.
 
 use std::path::Path;
 use std::process::Command;
 
-/// A run of the program with a changed copy of a shipped file.
-struct Run {
-    /// The changed text.
+/// The result of running the program with a modified copy of a shipped experiment file.
+struct ModifiedRun {
+    /// The modified text.
     text: String,
-    /// Standard error, with `FILE` for the path of the file.
+    /// Standard error, with the path of the file replaced by `FILE`.
     errors: String,
     status: Option<i32>,
 }
 
-/// Runs the program with the shipped file in which some text is replaced.
-fn run_changed(name: &str, old: &str, new: &str) -> Run {
+/// Runs the program with a copy of a shipped file in which the first occurrence of `old` is replaced.
+fn run_modified(name: &str, old: &str, new: &str) -> ModifiedRun {
     let shipped = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/release-300.toml");
-    let text = std::fs::read_to_string(shipped).expect("a shipped file");
+    let text = std::fs::read_to_string(shipped).expect("the shipped file is readable");
     assert!(text.contains(old), "{old} is not in the file");
     let text = text.replacen(old, new, 1);
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.toml"));
-    std::fs::write(&file, &text).expect("a file");
-    let output =
-        Command::new(env!("CARGO_BIN_EXE_ryefront-fleet")).arg("run").arg(&file).output().expect("it runs");
+    std::fs::write(&file, &text).expect("the modified file is written");
+    let output = Command::new(env!("CARGO_BIN_EXE_ryefront-fleet"))
+        .arg("run")
+        .arg(&file)
+        .output()
+        .expect("the program starts");
     assert!(output.stdout.is_empty());
-    let errors = String::from_utf8(output.stderr).expect("text");
+    let errors = String::from_utf8(output.stderr).expect("standard error is UTF-8");
     let errors = errors.replace(&*file.to_string_lossy(), "FILE");
-    Run { text, errors, status: output.status.code() }
+    ModifiedRun { text, errors, status: output.status.code() }
 }
 
-/// A change that makes the shipped file invalid, and what its error has to name.
+/// A replacement that makes the shipped file invalid, and the error that it must lead to.
 struct InvalidChange {
     old: &'static str,
     new: &'static str,
-    /// The start of the line that the error names.
-    line: &'static str,
+    /// The beginning of the line whose number the error must contain.
+    line_start: &'static str,
     key: &'static str,
-    expected: &'static str,
+    /// Text that the message must contain.
+    message: &'static str,
 }
 
 const fn invalid(
-    old: &'static str, new: &'static str, line: &'static str, key: &'static str, expected: &'static str,
+    old: &'static str, new: &'static str, line_start: &'static str, key: &'static str, message: &'static str,
 ) -> InvalidChange {
-    InvalidChange { old, new, line, key, expected }
+    InvalidChange { old, new, line_start, key, message }
 }
 
 const INVALID_CHANGES: [InvalidChange; 16] = [
@@ -84,15 +88,16 @@
 
 #[test]
 fn error_names_line_key_and_expectation_of_an_invalid_value() {
-    for (n, change) in INVALID_CHANGES.iter().enumerate() {
-        let InvalidChange { old, new, line, key, expected } = change;
+    for (index, change) in INVALID_CHANGES.iter().enumerate() {
+        let InvalidChange { old, new, line_start, key, message } = change;
 
-        let Run { text, errors, status } = run_changed(&format!("invalid-{n}"), old, new);
+        let ModifiedRun { text, errors, status } = run_modified(&format!("invalid-{index}"), old, new);
 
-        let line = text.lines().position(|l| l.starts_with(line)).expect("the line") + 1;
+        let line_index = text.lines().position(|line| line.starts_with(line_start));
+        let line_number = line_index.expect("the modified file contains the line") + 1;
         assert_eq!(status, Some(2), "{old} -> {new}: {errors}");
-        assert!(errors.starts_with(&format!("FILE:{line}: {key}: ")), "{old} -> {new}: {errors}");
-        assert!(errors.contains(expected) && errors.lines().count() == 1, "{old} -> {new}: {errors}");
+        assert!(errors.starts_with(&format!("FILE:{line_number}: {key}: ")), "{old} -> {new}: {errors}");
+        assert!(errors.contains(message) && errors.lines().count() == 1, "{old} -> {new}: {errors}");
     }
 }
 
@@ -101,8 +106,8 @@
     let output = Command::new(env!("CARGO_BIN_EXE_ryefront-fleet"))
         .args(["run", "no/such/file.toml"])
         .output()
-        .expect("it runs");
-    let errors = String::from_utf8(output.stderr).expect("text");
+        .expect("the program starts");
+    let errors = String::from_utf8(output.stderr).expect("standard error is UTF-8");
     assert_eq!(output.status.code(), Some(2));
     assert!(
         errors.starts_with("no/such/file.toml: cannot be read: ") && errors.lines().count() == 1,
