--- a/fleet/src/slopes/error.rs
+++ b/fleet/src/slopes/error.rs
@@ -15,10 +15,10 @@
     List(#[from] EndpointListError),
     /// The policy engine did not forward a request, or forwarded it more than once.
     #[error("a measured request was not forwarded exactly once")]
-    NotForwarded,
+    NotForwardedOnce,
     /// The policy engine did not call the counter exactly once for the first request of a tenant.
     #[error("the first request of a new tenant did not lead to exactly one counter call")]
-    NoCounterCall,
+    NotOneCounterCall,
     /// The resident memory cannot be read, the process that measures it fails, or a loopback socket cannot be
     /// used.
     #[error("the measurement failed: {0}")]
--- a/fleet/src/slopes/measure.rs
+++ b/fleet/src/slopes/measure.rs
@@ -10,7 +10,7 @@
 use ryefront_policy::Name;
 use std::time::{Duration, Instant};
 
-/// Bounds on how often a measurement is repeated, whatever [`Sizes::repeat_for`] says.
+/// Bounds on the number of repetitions of a measurement, which apply whatever [`Sizes::repeat_for`] is.
 const MIN_REPETITIONS: usize = 3;
 const MAX_REPETITIONS: usize = 2_000;
 /// The number of tenants or routes that the requests of one measurement cycle through.
@@ -93,7 +93,7 @@
         Ok(CostCurve::fitted(name, unit, dimension, points))
     }
 
-    /// Repeats a measurement and returns the median time, µs.
+    /// Repeats a measurement and returns the median of the durations it returns, µs.
     fn median_us(
         &self, mut measure: impl FnMut() -> Result<Duration, MeasurementError>,
     ) -> Result<f64, MeasurementError> {
@@ -125,11 +125,8 @@
         let by_routes =
             self.cost_by_size("one request's decisions, routes", "us", Dimension::Routes, |n| {
                 let mut gateway = MeasuredGateway::with_list(FleetSize { routes: n, ..FleetSize::MINIMAL })?;
-                self.alternating_request_time(
-                    &mut gateway,
-                    &[tenant_name(1)],
-                    &alternating_names(n, route_name),
-                )
+                let routes = alternating_names(n, route_name);
+                self.alternating_request_time(&mut gateway, &[tenant_name(1)], &routes)
             })?;
         let requirement = Requirement::at_most(
             MAX_REQUEST_GROWTH,
@@ -164,16 +161,16 @@
 
     fn snapshot_times(&self) -> Result<Vec<CostCurve>, MeasurementError> {
         let first = self.cost_by_size("endpoint list snapshot, first", "ms", Dimension::Endpoints, |n| {
+            let size = FleetSize::proportional(n);
             let text = snapshot(n);
-            let us = self
-                .median_us(|| Ok(MeasuredGateway::without_list(FleetSize::proportional(n))?.apply(&text)?))?;
+            let us = self.median_us(|| Ok(MeasuredGateway::without_list(size)?.apply_list(&text)?))?;
             Ok(us / 1000.0)
         })?;
         let repeated =
             self.cost_by_size("endpoint list snapshot, repeated", "ms", Dimension::Endpoints, |n| {
                 let mut gateway = MeasuredGateway::with_list(FleetSize::proportional(n))?;
                 let text = snapshot(n);
-                let us = self.median_us(|| Ok(gateway.apply(&text)?))?;
+                let us = self.median_us(|| Ok(gateway.apply_list(&text)?))?;
                 Ok(us / 1000.0)
             })?;
         let requirement = |curve: &CostCurve| {
@@ -208,7 +205,7 @@
             let mut round = 0;
             self.median_us(|| {
                 round += 1;
-                Ok(gateway.apply(&delta(round))?)
+                Ok(gateway.apply_list(&delta(round))?)
             })
         })?;
         let next_request =
@@ -218,7 +215,7 @@
                 self.median_us(|| {
                     round += 1;
                     gateway.advance_clock();
-                    gateway.apply(&delta(round))?;
+                    gateway.apply_list(&delta(round))?;
                     Ok(gateway.run_request(&tenant_name(1), &route_name(0))?.time)
                 })
             })?;
@@ -252,7 +249,7 @@
             self.median_us(|| {
                 new_tenant += 1;
                 let cost = gateway.run_request(&tenant_name(new_tenant), &route_name(0))?;
-                if cost.counter_calls == 1 { Ok(cost.time) } else { Err(MeasurementError::NoCounterCall) }
+                if cost.counter_calls == 1 { Ok(cost.time) } else { Err(MeasurementError::NotOneCounterCall) }
             })
         })
     }
--- a/fleet/src/slopes/measured_gateway.rs
+++ b/fleet/src/slopes/measured_gateway.rs
@@ -142,7 +142,7 @@
     format_list(FIRST_VERSION + 1 + round as u64, ListKind::Delta, &entries)
 }
 
-/// What a request costs.
+/// The cost of a request.
 pub(super) struct RequestCost {
     /// The time spent in the policy engine.
     pub(super) time: Duration,
@@ -174,7 +174,7 @@
     /// Creates a gateway that has applied a snapshot of all endpoints.
     pub(super) fn with_list(size: FleetSize) -> Result<Self, MeasurementError> {
         let mut gateway = Self::without_list(size)?;
-        gateway.apply(&snapshot(size.endpoints))?;
+        gateway.apply_list(&snapshot(size.endpoints))?;
         Ok(gateway)
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// Parses and applies an endpoint list as a gateway does, and returns the time that this took.
-    pub(super) fn apply(&mut self, text: &str) -> Result<Duration, EndpointListError> {
+    pub(super) fn apply_list(&mut self, text: &str) -> Result<Duration, EndpointListError> {
         let start = Instant::now();
         let list = EndpointList::parse(text.as_bytes())?;
         self.registry.apply(&list);
@@ -238,7 +238,7 @@
                 }
             }
         }
-        if forwarded == 1 { Ok(cost) } else { Err(MeasurementError::NotForwarded) }
+        if forwarded == 1 { Ok(cost) } else { Err(MeasurementError::NotForwardedOnce) }
     }
 
     fn arrival(&mut self, tenant: &Name, class: &Name) -> Event {
--- a/fleet/src/slopes/memory.rs
+++ b/fleet/src/slopes/memory.rs
@@ -23,7 +23,7 @@
     let list = snapshot(if load == MemoryLoad::Endpoints { size } else { 1 });
     let mut gateway = MeasuredGateway::without_list(FleetSize::proportional(size))?;
     let before = resident_bytes()?;
-    gateway.apply(&list)?;
+    gateway.apply_list(&list)?;
     if load == MemoryLoad::Tenants {
         gateway.add_tenants(size)?;
     }
