--- a/fleet/src/connection.rs
+++ b/fleet/src/connection.rs
@@ -76,7 +76,7 @@
 
     /// Keeps the connection of an attempt that had a response, and closes all to an endpoint that is gone.
     /// Any other end closes the attempt's connection.
-    pub(crate) fn attempt_ended(&mut self, endpoint: u32, outcome: Outcome, now: Micros) {
+    pub(crate) fn release(&mut self, endpoint: u32, outcome: Outcome, now: Micros) {
         match outcome {
             Outcome::Served | Outcome::Error | Outcome::Rejected => {
                 self.idle_since.entry(endpoint).or_default().push(now);
--- a/fleet/src/requests.rs
+++ b/fleet/src/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of the clients, from the arrival of an attempt to its completion and the client's retry.
+//! Client attempts, from their arrival at a gateway to their completion and the client's retry.
 
 use crate::attempts::{ClientAttempt, ClientAttempts};
 use crate::clients::{ClientBehavior, ClientRequest, Clients, ScheduledRequest};
@@ -13,19 +13,19 @@
 /// How a client attempt ended.
 pub(crate) enum Completion {
     Served {
-        /// The latency without the attempt that was served, but with its new connection.
-        added: Micros,
+        /// The latency without that of the served attempt, plus the handshake of its connection.
+        added_latency: Micros,
     },
     Rejected {
         retry_after: Millis,
-        /// The reason that follows from the event alone; `record_rejected` refines it.
+        /// The reason as far as the type of the event determines it; `record_rejected` refines it.
         reason: RejectionReason,
     },
     Failed,
     ClientDisconnected,
 }
 
-/// Clients, their tenants, and the client attempts without a completion.
+/// Clients, their tenants, and the open client attempts.
 pub(crate) struct Requests<'a> {
     experiment: &'a Experiment,
     gateway_count: u32,
@@ -39,7 +39,7 @@
 }
 
 impl<'a> Requests<'a> {
-    /// The clients and tenants of a fraction of the fleet.
+    /// Creates the clients and tenants of a fraction of the fleet.
     pub(crate) fn new(experiment: &'a Experiment, fraction: f64, gateway_count: u32, seed: u64) -> Self {
         let load = &experiment.load;
         let mut random = Random::new(seed, Stream::Clients);
@@ -60,19 +60,19 @@
         }
     }
 
-    /// Units that first attempts ask for, relative to the rates of all quotas.
+    /// The rate of units that first attempts request, relative to the total rate of all quotas.
     pub(crate) fn quota_demand(&self) -> f64 {
         self.quota_demand
     }
 
-    pub(crate) fn schedule_next(&mut self, after: Micros, events: &mut EventQueue) {
+    pub(crate) fn schedule_next_request(&mut self, after: Micros, events: &mut EventQueue) {
         let ScheduledRequest { at, request } =
             self.clients.next_request(after, self.experiment, &self.tenants);
         events.schedule(at, SimEvent::ClientRequest(Box::new(request)));
     }
 
-    /// Opens a client attempt and returns what its gateway receives.
-    pub(crate) fn open(
+    /// Opens a client attempt and returns the arrival to pass to its gateway.
+    pub(crate) fn open_attempt(
         &mut self, request: ClientRequest, now: Micros, events: &mut EventQueue, metrics: &mut Metrics,
     ) -> Arrival {
         let id = self.client_attempts.next_id();
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Completes a client attempt.
+    /// Records the completion of a client attempt and schedules the client's retry, if there is one.
     pub(crate) fn complete(
         &mut self, id: u64, completion: Completion, now: Micros, events: &mut EventQueue,
         metrics: &mut Metrics,
@@ -112,21 +112,23 @@
             return metrics.record_duplicate_completion();
         };
         if attempt.request.counted {
-            self.record(&attempt, &completion, now, metrics);
+            self.record_completion(&attempt, &completion, now, metrics);
         }
         if let Completion::Rejected { retry_after, .. } = completion {
             self.schedule_retry(attempt.request, retry_after, now, events);
         }
     }
 
-    fn record(&self, attempt: &ClientAttempt, completion: &Completion, now: Micros, metrics: &mut Metrics) {
+    fn record_completion(
+        &self, attempt: &ClientAttempt, completion: &Completion, now: Micros, metrics: &mut Metrics,
+    ) {
         match *completion {
-            Completion::Served { added } => {
+            Completion::Served { added_latency } => {
                 let class = &self.experiment.classes[attempt.request.class];
                 let latency = now - attempt.arrived_at;
                 let late = latency as f64 > class.latency_objective_ms * 1000.0;
                 let quota_check = attempt.quota_check;
-                metrics.record_served(&ServedAttempt { latency, added_latency: added, late, quota_check });
+                metrics.record_served(&ServedAttempt { latency, added_latency, late, quota_check });
             }
             Completion::Rejected { reason, .. } => self.record_rejected(attempt, reason, now, metrics),
             Completion::Failed => {
@@ -138,7 +140,7 @@
     }
 
     fn record_rejected(
-        &self, attempt: &ClientAttempt, event_reason: RejectionReason, now: Micros, metrics: &mut Metrics,
+        &self, attempt: &ClientAttempt, reason_by_event: RejectionReason, now: Micros, metrics: &mut Metrics,
     ) {
         let request = &attempt.request;
         let remaining = self.tenants.remaining(request.tenant, now);
@@ -148,7 +150,7 @@
         } else if remaining < request.units {
             RejectionReason::BeyondQuota
         } else {
-            event_reason
+            reason_by_event
         };
         let over_half_burst_left = remaining > quota.burst / 2.0;
         metrics.record_rejected(&RejectedAttempt { reason, over_half_burst_left });
--- a/fleet/src/rollout.rs
+++ b/fleet/src/rollout.rs
@@ -54,7 +54,7 @@
     }
 
     /// Records that a list was published with all drains so far.
-    pub(crate) fn drains_published(&mut self, list: usize) {
+    pub(crate) fn record_published_drains(&mut self, list: usize) {
         for endpoint in self.unpublished_drains.drain(..) {
             self.drain_published_in.insert(endpoint, list);
         }
--- a/fleet/src/simulation.rs
+++ b/fleet/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation: one loop over the events of the fleet in virtual time, and what each event leads to.
+//! The event loop of a simulation, in virtual time, and the handlers of all events.
 
 use crate::attempts::AttemptResult;
 use crate::clients::ClientRequest;
@@ -7,7 +7,7 @@
 use crate::discovery::Discovery;
 use crate::endpoints::{Acceptance, Endpoints, Job, StartedJob};
 use crate::error::RunError;
-use crate::event_queue::{EventQueue, ReplacementStep, Scheduled, SimEvent};
+use crate::event_queue::{EventQueue, ReplacementStep, ScheduledEvent, SimEvent};
 use crate::experiment::Experiment;
 use crate::gateway_process::GatewayProcess;
 use crate::list_format::{ListEntry, parse_endpoint_name};
@@ -20,7 +20,7 @@
 use crate::time::{self, Micros};
 use ryefront_policy::{Action, EndpointState, Event, Name, Outcome};
 
-/// Clients start once all gateways have their first endpoint list.
+/// Clients start to send requests once all gateways have received their first endpoint list.
 const CLIENTS_START_AT: Micros = 50_000;
 /// How long the simulation may run past the last deadline.
 const MAX_OVERRUN: Micros = 1_000_000;
@@ -39,16 +39,16 @@
     discovery: Discovery,
     network: Network,
     requests: Requests<'a>,
-    /// The reason of a rejection that follows from the event being handled alone.
+    /// The reason for a rejection, as far as the type of the current event determines it.
     rejection_reason: RejectionReason,
     service_random: Random,
     metrics: Metrics,
 }
 
-/// Simulates an experiment with a seed.
+/// Simulates an experiment with the given seed.
 ///
 /// # Errors
-/// When the gateways' code rejects the settings or the endpoint lists of the model.
+/// When the policy engine rejects the generated settings, or the gateways' parser an endpoint list.
 pub fn run(experiment: &Experiment, seed: u64) -> Result<Report, RunError> {
     let mut simulation = Simulation::new(experiment, seed)?;
     simulation.run()?;
@@ -77,12 +77,12 @@
             service_random: Random::new(seed, Stream::Service),
             metrics: Metrics::new(),
         };
-        simulation.schedule_start(&mut random)?;
+        simulation.schedule_initial_events(&mut random)?;
         Ok(simulation)
     }
 
-    /// Schedules the first endpoint lists, the rollout and the first request.
-    fn schedule_start(&mut self, random: &mut Random) -> Result<(), RunError> {
+    /// Schedules the first endpoint lists, the first publication, the rollout and the first request.
+    fn schedule_initial_events(&mut self, random: &mut Random) -> Result<(), RunError> {
         let endpoint_count = self.endpoints.count() as u32;
         let entries: Vec<ListEntry> = (0..endpoint_count).map(|n| self.endpoints.list_entry(n)).collect();
         let list = self.discovery.publish_snapshot(&entries)?;
@@ -95,7 +95,7 @@
             let speed = self.experiment.endpoints.speed;
             Rollout::schedule(settings, speed, endpoint_count, random, &mut self.events)
         });
-        self.requests.schedule_next(CLIENTS_START_AT, &mut self.events);
+        self.requests.schedule_next_request(CLIENTS_START_AT, &mut self.events);
         Ok(())
     }
 
@@ -104,14 +104,14 @@
         let deadlines = self.experiment.classes.iter().map(|class| class.deadline_ms);
         let latest_end = end + time::from_ms(deadlines.fold(0.0, f64::max)) + MAX_OVERRUN;
         let mut second = 0;
-        while let Some(Scheduled { at, event, .. }) = self.events.pop() {
+        while let Some(ScheduledEvent { at, event, .. }) = self.events.pop() {
             if at > latest_end || (at > end && self.requests.client_attempts.count() == 0) {
                 break;
             }
             self.now = at;
             if at / SECOND > second {
                 second = at / SECOND;
-                self.metrics.audit(&self.requests.client_attempts.open_counted());
+                self.metrics.audit(&self.requests.client_attempts.counted_open_attempts());
                 let attempts = self.requests.client_attempts.last_id();
                 let open = self.requests.client_attempts.count();
                 tracing::info!(second, attempts, open, "simulated");
@@ -121,20 +121,20 @@
                 event => self.handle(event)?,
             }
         }
-        self.metrics.finish(&self.requests.client_attempts.open_counted());
+        self.metrics.finish(&self.requests.client_attempts.counted_open_attempts());
         Ok(())
     }
 
     fn handle(&mut self, event: SimEvent) -> Result<(), RunError> {
         match event {
             SimEvent::ClientRequest(request) => {
-                self.requests.schedule_next(self.now, &mut self.events);
+                self.requests.schedule_next_request(self.now, &mut self.events);
                 let counted = self.now as f64 >= self.experiment.warm_up_s * 1e6;
                 self.request_arrived(ClientRequest { counted, ..*request });
             }
             SimEvent::ClientRetry(request) => self.request_arrived(*request),
             SimEvent::GatewayTimer { gateway, token } => {
-                self.notify(gateway, Event::Timer { token }, RejectionReason::WaitExpired);
+                self.dispatch(gateway, Event::Timer { token }, RejectionReason::WaitExpired);
             }
             SimEvent::AttemptArrived { endpoint, job } => self.attempt_arrived(endpoint, job),
             SimEvent::JobFinished { endpoint, job } => self.job_finished(endpoint, job),
@@ -149,21 +149,21 @@
             SimEvent::CounterReplied { gateway, key, result, sent_at } => {
                 let latency = time::to_ms(self.now - sent_at);
                 let reply = Event::CounterReply { key, result, latency };
-                self.notify(gateway, reply, RejectionReason::OnCounterReply);
+                self.dispatch(gateway, reply, RejectionReason::OnCounterReply);
             }
             SimEvent::ChangesPublished => self.publish_changes()?,
             SimEvent::ListReceived { gateway, list } => {
                 let published = self.discovery.list(list);
                 let event = self.gateways[gateway as usize].receive_list(published, list, self.now);
-                self.notify(gateway, event, RejectionReason::WaitExpired);
+                self.dispatch(gateway, event, RejectionReason::WaitExpired);
             }
-            SimEvent::Replacement(step) => self.replace_endpoint(step),
+            SimEvent::Replacement(step) => self.perform_replacement_step(step),
         }
         Ok(())
     }
 
-    /// Passes an event to a gateway and performs the actions it leads to.
-    fn notify(&mut self, gateway: u32, event: Event, rejection_reason: RejectionReason) {
+    /// Passes an event to a gateway and performs the actions that it returns.
+    fn dispatch(&mut self, gateway: u32, event: Event, rejection_reason: RejectionReason) {
         self.rejection_reason = rejection_reason;
         for action in self.gateways[gateway as usize].handle(self.now, event) {
             self.perform(gateway, action);
@@ -189,8 +189,8 @@
                 self.events.schedule(self.now + delay, SimEvent::CounterCalled(call));
             }
             Action::Log(text) => tracing::debug!(gateway, "{text}"),
-            // The model cancels attempts itself when a client disconnects, and the policy emits none of these
-            // with the settings of `gateway_process::settings`.
+            // Attempts are cancelled in `client_disconnected`, without an action. With the settings from
+            // `gateway_process::settings`, the policy returns none of these actions.
             Action::CancelAttempt { .. }
             | Action::HealthCheck { .. }
             | Action::Gossip { .. }
@@ -202,7 +202,7 @@
         let endpoint = parse_endpoint_name(&endpoint_name).filter(|number| *number < self.endpoints.count());
         let attempt = self.requests.client_attempts.get(id).filter(|attempt| attempt.in_flight.is_none());
         let (Some(endpoint), Some(_)) = (endpoint, attempt) else {
-            // A real gateway reports such an attempt as not sent; here it is a fault of the policy.
+            // A real gateway reports the outcome `NotSent`. In the model, it can only be a bug in the policy.
             return self.metrics.record_invalid_action();
         };
         let endpoint = endpoint as u32;
@@ -233,39 +233,39 @@
 
     fn request_arrived(&mut self, request: ClientRequest) {
         let gateway = request.gateway;
-        let arrival = self.requests.open(request, self.now, &mut self.events, &mut self.metrics);
-        self.notify(gateway, Event::RequestArrived(arrival), RejectionReason::OnArrival);
+        let arrival = self.requests.open_attempt(request, self.now, &mut self.events, &mut self.metrics);
+        self.dispatch(gateway, Event::RequestArrived(arrival), RejectionReason::OnArrival);
     }
 
     fn complete(&mut self, id: u64, completion: Completion) {
         self.requests.complete(id, completion, self.now, &mut self.events, &mut self.metrics);
     }
 
-    /// Ends the attempt in flight of a request, at the time its gateway observes it.
+    /// Handles the end of the attempt in flight, at the time its gateway observes it.
     fn attempt_ended(&mut self, id: u64, outcome: Outcome, queue_length: Option<f64>) {
         let Some(attempt) = self.requests.client_attempts.get_mut(id) else { return };
         let Some(in_flight) = attempt.in_flight.take() else { return };
         let gateway = attempt.request.gateway;
         let attempt_latency = self.now - in_flight.sent_at;
-        let added = self.now - attempt.arrived_at - attempt_latency + in_flight.handshake;
+        let added_latency = self.now - attempt.arrived_at - attempt_latency + in_flight.handshake;
         if attempt.request.counted {
             self.metrics.record_forwarded_ended();
         }
         let connections = &mut self.gateways[gateway as usize].connections;
-        connections.attempt_ended(in_flight.endpoint, outcome, self.now);
+        connections.release(in_flight.endpoint, outcome, self.now);
         if outcome == Outcome::Served {
-            self.complete(id, Completion::Served { added });
+            self.complete(id, Completion::Served { added_latency });
         }
         let request_finished = !self.requests.client_attempts.is_open(id);
         let result = AttemptResult { id, outcome, request_finished, queue_length };
-        self.notify(gateway, in_flight.end(result, self.now), RejectionReason::WaitExpired);
+        self.dispatch(gateway, in_flight.into_event(result, self.now), RejectionReason::WaitExpired);
     }
 
     fn deadline_passed(&mut self, id: u64) {
         if self.requests.client_attempts.get(id).is_some_and(|attempt| attempt.in_flight.is_some()) {
             self.attempt_ended(id, Outcome::TimedOut, None);
         }
-        // The gateway must have completed it by now; if it has not, the client disconnects.
+        // The gateway must have completed the client attempt by now. If it has not, the client disconnects.
         if self.requests.client_attempts.get(id).is_some_and(|attempt| attempt.request.counted) {
             self.metrics.record_incomplete_at_deadline();
         }
@@ -280,22 +280,22 @@
             self.metrics.record_forwarded_ended();
         }
         self.complete(id, Completion::ClientDisconnected);
-        self.notify(gateway, Event::ClientDisconnected { id }, RejectionReason::WaitExpired);
+        self.dispatch(gateway, Event::ClientDisconnected { id }, RejectionReason::WaitExpired);
         let Some(in_flight) = in_flight else { return };
-        // The attempt in flight is cancelled with its request, and the gateway is notified of its end.
+        // The attempt in flight is cancelled with its request, and its end is reported to the gateway.
         let outcome = Outcome::Cancelled;
         let result = AttemptResult { id, outcome, request_finished: true, queue_length: None };
-        self.notify(gateway, in_flight.end(result, self.now), RejectionReason::WaitExpired);
+        self.dispatch(gateway, in_flight.into_event(result, self.now), RejectionReason::WaitExpired);
     }
 
     fn attempt_arrived(&mut self, endpoint: u32, job: Job) {
-        if !self.requests.client_attempts.awaits(&job) {
+        if !self.requests.client_attempts.is_awaiting(&job) {
             return;
         }
         if self.endpoints.get(endpoint).state() == EndpointState::Removed {
             return self.respond(endpoint, job, Outcome::ConnectFailed);
         }
-        // A request is charged once, at its first attempt to arrive.
+        // A client attempt is charged once, when its first forwarded attempt arrives.
         if let Some(attempt) =
             self.requests.client_attempts.get_mut(job.id).filter(|attempt| attempt.quota_check.is_none())
         {
@@ -315,7 +315,7 @@
         let error = self.service_random.unit() < self.experiment.endpoints.error_rate;
         self.respond(endpoint, job, if error { Outcome::Error } else { Outcome::Served });
         let attempts = &self.requests.client_attempts;
-        let next = self.endpoints.start_next(endpoint, self.now, |job| attempts.awaits(job));
+        let next = self.endpoints.start_next(endpoint, self.now, |job| attempts.is_awaiting(job));
         if let Some(StartedJob { job, service_time }) = next {
             self.events.schedule(self.now + service_time, SimEvent::JobFinished { endpoint, job });
         }
@@ -330,7 +330,7 @@
         self.events.schedule(self.now + delay, event);
     }
 
-    fn replace_endpoint(&mut self, step: ReplacementStep) {
+    fn perform_replacement_step(&mut self, step: ReplacementStep) {
         let context = RolloutContext {
             endpoints: &mut self.endpoints,
             discovery: &mut self.discovery,
@@ -361,7 +361,7 @@
         self.schedule_publication();
         let Some(list) = self.discovery.publish_changes()? else { return Ok(()) };
         if let Some(rollout) = &mut self.rollout {
-            rollout.drains_published(list);
+            rollout.record_published_drains(list);
         }
         for gateway in 0..self.gateways.len() as u32 {
             let delay = self.network.notification_delay(&self.experiment.discovery);
