--- a/fleet/src/network.rs
+++ b/fleet/src/network.rs
@@ -1,10 +1,10 @@
-//! One-way delays between zones, and the delay of discovery's notifications.
+//! Network delays between zones, and the delay with which endpoint lists reach gateways.
 
 use crate::experiment::{self, Discovery, Experiment};
 use crate::random::Random;
 use crate::time::{self, Micros};
 
-/// The network. Zones are counted over all regions.
+/// The network between zones. Zones are numbered across all regions.
 pub(crate) struct Network {
     delays: experiment::Network,
     zones_per_region: u32,
@@ -21,7 +21,7 @@
         zone / self.zones_per_region == other / self.zones_per_region
     }
 
-    /// Draws a one-way delay between two zones.
+    /// Draws a one-way delay from one zone to another.
     pub(crate) fn network_delay(&mut self, from: u32, to: u32) -> Micros {
         let ms = if from == to {
             self.delays.within_zone_ms
@@ -30,12 +30,12 @@
         } else {
             self.delays.cross_region_ms
         };
-        (ms * 1000.0 * (1.0 + self.delays.jitter * self.random.unit())).ceil() as Micros
+        (ms * 1000.0 * (1.0 + self.delays.jitter * self.random.uniform())).ceil() as Micros
     }
 
-    /// Draws how long after its publication an endpoint list reaches a gateway.
+    /// Draws the time from the publication of an endpoint list to its receipt by a gateway.
     pub(crate) fn notification_delay(&mut self, discovery: &Discovery) -> Micros {
-        let spread_ms = discovery.notification_spread_ms * self.random.unit();
+        let spread_ms = discovery.notification_spread_ms * self.random.uniform();
         time::from_ms(discovery.notification_delay_ms + spread_ms)
     }
 }
--- a/fleet/src/requests.rs
+++ b/fleet/src/requests.rs
@@ -43,14 +43,14 @@
     pub(crate) fn new(experiment: &'a Experiment, fraction: f64, gateway_count: u32, seed: u64) -> Self {
         let load = &experiment.load;
         let mut random = Random::new(seed, Stream::Clients);
-        let GeneratedTenants { tenants, usage_weights, total_rate } =
+        let GeneratedTenants { tenants, request_weights, total_rate } =
             Tenants::generate(experiment, fraction, gateway_count, &mut random);
         let requests_per_s = load.requests_per_s * fraction;
         let mean_units = f64::midpoint(load.units.low.into(), load.units.high.into());
         Self {
             experiment,
             gateway_count,
-            clients: Clients::new(experiment, requests_per_s, gateway_count, usage_weights, random),
+            clients: Clients::new(experiment, requests_per_s, gateway_count, request_weights, random),
             behavior: ClientBehavior::new(load, Random::new(seed, Stream::ClientBehavior)),
             tenants,
             client_attempts: ClientAttempts::default(),
--- a/fleet/src/rollout.rs
+++ b/fleet/src/rollout.rs
@@ -40,7 +40,7 @@
         let replaced = (f64::from(endpoint_count) * settings.replaced_fraction).round() as usize;
         // A partial Fisher-Yates shuffle: the first `replaced` of the order are drawn.
         for n in 0..replaced {
-            order.swap(n, n + random.below(endpoint_count as usize - n));
+            order.swap(n, n + random.uniform_below(endpoint_count as usize - n));
             let at_s = settings.start_s + settings.duration_s * n as f64 / replaced as f64;
             let drain = ReplacementStep::Drain { endpoint: order[n] };
             events.schedule(time::from_s(at_s), SimEvent::Replacement(drain));
@@ -84,7 +84,7 @@
                 events.schedule(now + boot_time, SimEvent::Replacement(start));
             }
             ReplacementStep::StartSuccessor { replaced } => {
-                let speed = random.within(self.endpoint_speed);
+                let speed = random.uniform_in(self.endpoint_speed);
                 let successor = endpoints.add_successor(replaced, speed, now);
                 discovery.record(endpoints.list_entry(successor));
             }
--- a/fleet/src/setup.rs
+++ b/fleet/src/setup.rs
@@ -14,7 +14,7 @@
 
 /// Draws the time at which a gateway starts, which is when it receives its first endpoint list.
 pub(crate) fn gateway_start_time(random: &mut Random) -> Micros {
-    random.below(GATEWAY_START_SPREAD as usize) as Micros
+    random.uniform_below(GATEWAY_START_SPREAD as usize) as Micros
 }
 
 /// Creates the endpoints of a fraction of the fleet, distributed evenly over zones.
@@ -29,7 +29,7 @@
         // All endpoints of a cell are in the same zone.
         let zone = number % zones;
         let cell = number / zones / settings.cell_size * zones + zone;
-        endpoints.add(zone, cell.into(), random.within(settings.speed), None);
+        endpoints.add(zone, cell.into(), random.uniform_in(settings.speed), None);
     }
     endpoints
 }
@@ -49,7 +49,7 @@
         let zone = region * fleet.zones_per_region + index % fleet.zones_per_region;
         let settings = gateway_process::settings(experiment, count, index, zone);
         let registry = (index < with_registry).then(|| Registry::new(idle_timeout));
-        GatewayProcess::new(settings, zone, random.bits(), registry)
+        GatewayProcess::new(settings, zone, random.next_u64(), registry)
     };
     (0..count).map(create).collect()
 }
--- a/fleet/src/simulation.rs
+++ b/fleet/src/simulation.rs
@@ -312,7 +312,7 @@
     }
 
     fn job_finished(&mut self, endpoint: u32, job: Job) {
-        let error = self.service_random.unit() < self.experiment.endpoints.error_rate;
+        let error = self.service_random.uniform() < self.experiment.endpoints.error_rate;
         self.respond(endpoint, job, if error { Outcome::Error } else { Outcome::Served });
         let attempts = &self.requests.client_attempts;
         let next = self.endpoints.start_next(endpoint, self.now, |job| attempts.is_awaiting(job));
--- a/fleet/src/tenants.rs
+++ b/fleet/src/tenants.rs
@@ -1,5 +1,5 @@
-//! Tenants, and what each has left of its quota by the model's exact accounting of the requests that reached
-//! an endpoint. Gateways only estimate it.
+//! Tenants and the exact accounting of their quotas, which charges each request that reaches an endpoint.
+//! Gateways only have an estimate of it.
 
 use crate::experiment::Experiment;
 use crate::random::{GOLDEN_GAMMA, Random};
@@ -11,7 +11,7 @@
 pub(crate) struct Quota {
     /// Units per second.
     pub(crate) rate: f64,
-    /// The most units that may be used at once.
+    /// The maximum number of units that may be used at once.
     pub(crate) burst: f64,
 }
 
@@ -20,13 +20,15 @@
     pub(crate) name: Name,
     /// The index of its plan.
     pub(crate) plan: usize,
-    /// The index of the first gateway that serves it; the others follow it in order, wrapping around.
+    /// The index of the first of the `gateway_count` consecutive gateways that serve the tenant. Indices wrap
+    /// around at the end of the fleet.
     pub(crate) first_gateway: u32,
     pub(crate) gateway_count: u32,
-    /// Units of requests that reached an endpoint.
+    /// Total units of all requests that reached an endpoint.
     pub(crate) used_units: f64,
-    /// Units that were left when it was charged last.
+    /// Units left in the quota at `charged_at`.
     remaining: f64,
+    /// When the tenant was last charged.
     charged_at: Micros,
 }
 
@@ -37,83 +39,88 @@
     Over,
 }
 
-/// Tenants drawn at random.
+/// Randomly generated tenants and their total demand.
 pub(crate) struct GeneratedTenants {
     pub(crate) tenants: Tenants,
-    /// The cumulative weights by which tenants send requests.
-    pub(crate) usage_weights: Vec<f64>,
+    /// Cumulative request weights of the tenants.
+    pub(crate) request_weights: Vec<f64>,
     /// The sum of the rates of all quotas, units per second.
     pub(crate) total_rate: f64,
 }
 
 /// All tenants.
 pub(crate) struct Tenants {
-    all: Vec<Tenant>,
-    /// The quota of each plan.
+    tenants: Vec<Tenant>,
+    /// The quota of each plan, by the plan's index.
     quotas: Vec<Quota>,
 }
 
 impl Tenants {
-    /// Draws the tenants of a fraction of the fleet, which `gateway_count` gateways serve.
+    /// Generates the tenants of a fraction of the fleet that has `gateway_count` gateways.
     pub(crate) fn generate(
         experiment: &Experiment, fraction: f64, gateway_count: u32, random: &mut Random,
     ) -> GeneratedTenants {
         let load = &experiment.load;
-        let plan_weights = cumulative(experiment.plans.iter().map(|plan| plan.tenant_weight));
+        let plan_weights = cumulative_sums(experiment.plans.iter().map(|plan| plan.tenant_weight));
         let quotas: Vec<Quota> = experiment
             .plans
             .iter()
             .map(|plan| Quota { rate: plan.rate, burst: plan.rate * plan.burst_s })
             .collect();
         let count = ((f64::from(load.tenants) * fraction).round() as u32).max(1);
-        let mut all = Vec::new();
-        let mut usage = Vec::new();
+        let mut tenants = Vec::new();
+        let mut weights = Vec::new();
         let mut total_rate = 0.0;
         for number in 0..count {
-            let plan = random.weighted(&plan_weights);
+            let plan = random.weighted_index(&plan_weights);
             let settings = &experiment.plans[plan];
-            let tenant_gateways = random.within(settings.gateway_fraction) * f64::from(gateway_count);
-            let heavy = random.unit() < load.heavy_fraction;
-            let usage_factor = random.within(if heavy { load.heavy_usage_factor } else { load.usage_factor });
-            usage.push(settings.rate * usage_factor);
+            let tenant_gateways = random.uniform_in(settings.gateway_fraction) * f64::from(gateway_count);
+            let heavy = random.uniform() < load.heavy_fraction;
+            let usage_factor =
+                random.uniform_in(if heavy { load.heavy_usage_factor } else { load.usage_factor });
+            weights.push(settings.rate * usage_factor);
             total_rate += quotas[plan].rate;
-            all.push(Tenant {
+            tenants.push(Tenant {
                 name: tenant_name(number),
                 plan,
-                first_gateway: random.below(gateway_count as usize) as u32,
+                first_gateway: random.uniform_below(gateway_count as usize) as u32,
                 gateway_count: tenant_gateways.round().max(1.0) as u32,
                 used_units: 0.0,
                 remaining: quotas[plan].burst,
                 charged_at: 0,
             });
         }
-        GeneratedTenants { tenants: Self { all, quotas }, usage_weights: cumulative(usage), total_rate }
+        GeneratedTenants {
+            tenants: Self { tenants, quotas },
+            request_weights: cumulative_sums(weights),
+            total_rate,
+        }
     }
 
     pub(crate) fn get(&self, tenant: u32) -> &Tenant {
-        &self.all[tenant as usize]
+        &self.tenants[tenant as usize]
     }
 
     pub(crate) fn iter(&self) -> impl ExactSizeIterator<Item = &Tenant> {
-        self.all.iter()
+        self.tenants.iter()
     }
 
     pub(crate) fn quota(&self, tenant: &Tenant) -> Quota {
         self.quotas[tenant.plan]
     }
 
-    /// The units that a tenant has left by the model's exact accounting.
+    /// The units that a tenant has left, by exact accounting.
     pub(crate) fn remaining(&self, tenant: u32, now: Micros) -> f64 {
         let tenant = self.get(tenant);
         let quota = self.quota(tenant);
         (tenant.remaining + quota.rate * (now - tenant.charged_at) as f64 / 1e6).min(quota.burst)
     }
 
-    /// Records the units used by a request that reached an endpoint, and deducts them from the quota if it
-    /// has as many left.
+    /// Records the units of a request that reached an endpoint, and deducts them from the quota if enough are
+    /// left.
     pub(crate) fn charge(&mut self, tenant: u32, units: f64, now: Micros) -> QuotaCheck {
         let remaining = self.remaining(tenant, now);
-        let tenant = &mut self.all[tenant as usize];
+        let tenant = &mut self.tenants[tenant as usize];
         tenant.charged_at = now;
         tenant.used_units += units;
         if remaining >= units {
@@ -126,8 +133,8 @@
     }
 }
 
-/// Running sums of the weights.
-pub(crate) fn cumulative(weights: impl IntoIterator<Item = f64>) -> Vec<f64> {
+/// The cumulative sums of the weights.
+pub(crate) fn cumulative_sums(weights: impl IntoIterator<Item = f64>) -> Vec<f64> {
     let mut sum = 0.0;
     let add = |weight: f64| {
         sum += weight;
@@ -136,7 +143,8 @@
     weights.into_iter().map(add).collect()
 }
 
-/// 16 hexadecimal digits below 2^33, as tenants' names have them; the odd factor makes each unique.
+/// The name of a tenant: 16 hexadecimal digits of a number below 2^33, as gateways require. Multiplication by
+/// an odd factor keeps the names unique.
 fn tenant_name(number: u32) -> Name {
     const MASK: u64 = 0x1_ffff_ffff;
     format!("{:016x}", u64::from(number).wrapping_mul(GOLDEN_GAMMA) & MASK).into()
--- a/fleet/src/time.rs
+++ b/fleet/src/time.rs
@@ -1,25 +1,25 @@
-//! Virtual time: integer microseconds since the start of the simulation.
+//! Virtual time, in integer microseconds since the start of the simulation, and its conversions.
 
 use ryefront_policy::Millis;
 
-/// Microseconds: a point in virtual time, or a duration.
+/// A point in virtual time or a duration, in microseconds.
 pub(crate) type Micros = u64;
 
-/// The gateways' clocks at the start of the simulation, so that no endpoint starts at 0, which on the wire is
-/// an unknown start.
-const EPOCH: Millis = 1e9;
+/// What the gateways' clocks show at the start of the simulation. Not 0, because a start time of 0 in an
+/// endpoint list means that the start time is unknown.
+const WALL_CLOCK_AT_START: Millis = 1e9;
 
-/// A duration in ms, rounded down.
+/// Converts milliseconds, rounding down.
 pub(crate) fn from_ms(ms: f64) -> Micros {
     (ms * 1000.0) as Micros
 }
 
-/// A duration in ms, rounded up.
+/// Converts milliseconds, rounding up.
 pub(crate) fn from_ms_ceil(ms: f64) -> Micros {
     (ms * 1000.0).ceil() as Micros
 }
 
-/// A duration in s, rounded down.
+/// Converts seconds, rounding down.
 pub(crate) fn from_s(seconds: f64) -> Micros {
     (seconds * 1e6) as Micros
 }
@@ -28,7 +28,7 @@
     duration as f64 / 1000.0
 }
 
-/// The gateways' clocks at a point in virtual time.
+/// What the gateways' clocks show at a point in virtual time.
 pub(crate) fn wall_clock(now: Micros) -> Millis {
-    EPOCH + now as f64 / 1000.0
+    WALL_CLOCK_AT_START + now as f64 / 1000.0
 }
