--- a/fleet/src/connection.rs
+++ b/fleet/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections between gateways and endpoints: a pool of idle ones, and what a new one costs.
+//! Connections from gateways to endpoints: the pool of idle connections, and the cost of new ones.
 
 use crate::experiment;
 use crate::network::Network;
@@ -6,29 +6,29 @@
 use ryefront_policy::Outcome;
 use std::collections::HashMap;
 
-/// The way from a gateway to an endpoint.
+/// The endpoint of a connection, and the zones at both of its ends.
 pub(crate) struct EndpointRoute {
     pub(crate) gateway_zone: u32,
     pub(crate) endpoint_zone: u32,
     pub(crate) endpoint: u32,
 }
 
-/// Where the connection of an attempt comes from.
+/// Whether the connection of an attempt was reused or opened.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectionOrigin {
-    /// It was idle in the pool.
+    /// The connection was idle in the pool.
     Reused,
-    /// It was opened for the attempt.
+    /// The connection was opened for the attempt.
     New,
 }
 
-/// The connection of an attempt, and what it costs before the attempt reaches its endpoint.
+/// The connection of an attempt, and its costs.
 pub(crate) struct Connection {
-    /// One way to the endpoint.
+    /// The one-way network delay to the endpoint.
     pub(crate) delay: Micros,
-    /// 0 for a pooled connection.
+    /// The duration of the handshake; 0 for a reused connection.
     pub(crate) handshake: Micros,
-    /// Work of the handshake at the endpoint, µs.
+    /// The work of the handshake at an endpoint of speed 1, in µs; 0 for a reused connection.
     pub(crate) handshake_work: f64,
     pub(crate) origin: ConnectionOrigin,
     pub(crate) crosses_zones: bool,
@@ -38,20 +38,19 @@
 /// The idle connections of a gateway.
 #[derive(Default)]
 pub(crate) struct ConnectionPool {
-    /// For each endpoint, since when each connection is idle.
+    /// For each endpoint, the time since which each connection has been idle.
     idle_since: HashMap<u32, Vec<Micros>>,
 }
 
 impl ConnectionPool {
-    /// Removes the most recently used idle connection that has not reached the idle timeout; a new one is
-    /// needed where there is none.
+    /// Takes the most recently used idle connection out of the pool, if one has not reached the idle timeout.
     fn acquire(&mut self, endpoint: u32, now: Micros, idle_timeout: Micros) -> ConnectionOrigin {
         let Some(idle_since) = self.idle_since.get_mut(&endpoint) else { return ConnectionOrigin::New };
         idle_since.retain(|since| now - since < idle_timeout);
         if idle_since.pop().is_some() { ConnectionOrigin::Reused } else { ConnectionOrigin::New }
     }
 
-    /// Reuses a pooled connection, or opens one.
+    /// Reuses an idle connection, or opens a new one.
     pub(crate) fn connect(
         &mut self, route: &EndpointRoute, settings: &experiment::Endpoints, network: &mut Network,
         now: Micros,
@@ -74,8 +73,8 @@
         }
     }
 
-    /// Keeps the connection of an attempt that had a response, and closes all to an endpoint that is gone.
-    /// Any other end closes the attempt's connection.
+    /// Returns the connection of an attempt to the pool if there was a response, and closes it otherwise.
+    /// After a failure to connect, all idle connections to the endpoint are closed too.
     pub(crate) fn release(&mut self, endpoint: u32, outcome: Outcome, now: Micros) {
         match outcome {
             Outcome::Served | Outcome::Error | Outcome::Rejected => {
--- a/fleet/src/counter.rs
+++ b/fleet/src/counter.rs
@@ -1,5 +1,5 @@
-//! The shared counter: partitions, each of which accepts calls at a fixed rate; the service time of a call is
-//! random.
+//! The model of the shared counter. Each partition starts calls at a fixed maximum rate, and the service time
+//! of a call is random.
 
 use crate::experiment;
 use crate::random::Random;
@@ -7,15 +7,15 @@
 use ryefront_policy::{CounterResult, Millis};
 use std::collections::HashMap;
 
-/// Expired keys are removed after this number of calls.
+/// Expired keys are removed once in this number of calls.
 const CALLS_BETWEEN_CLEANUPS: u64 = 100_000;
-/// The gateway's call timeout as a multiple of the counter timeout; as `COUNTER_TIMEOUT_MULTIPLE` in
-/// gateway/src/engine.rs.
+/// A gateway abandons a call after this many times the settings' counter timeout. Must be equal to
+/// `COUNTER_TIMEOUT_MULTIPLE` in gateway/src/engine.rs.
 const COUNTER_TIMEOUT_MULTIPLE: f64 = 4.0;
-/// The longest service time, as a multiple of the mean.
+/// The maximum service time, as a multiple of the mean.
 const MAX_SERVICE_TIME_FACTOR: f64 = 8.0;
 
-/// A call that a gateway sent.
+/// A call from a gateway.
 pub(crate) struct CounterCall {
     pub(crate) gateway: u32,
     pub(crate) key: u64,
@@ -24,40 +24,43 @@
     pub(crate) sent_at: Micros,
 }
 
-/// What a call led to, and when that was known.
+/// The result of a call, and the time at which it is available.
 pub(crate) struct CounterReply {
     pub(crate) result: CounterResult,
     pub(crate) at: Micros,
 }
 
-/// Calls since the start.
+/// The number of calls since the start of the simulation.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct CounterStatistics {
     pub(crate) calls: u64,
-    /// Rejected by the counter, as they would have waited too long.
+    /// Calls that the counter rejected because they would have waited too long.
     pub(crate) rejected: u64,
-    /// Abandoned by the gateway.
+    /// Calls that the gateway abandoned after its timeout.
     pub(crate) timed_out: u64,
 }
 
+/// The total of one key.
 struct Total {
     value: f64,
     expires_at: Micros,
 }
 
-/// The counter.
+/// The shared counter.
 pub(crate) struct Counter {
     totals: HashMap<u64, Total>,
-    /// When each partition can start its next call.
+    /// The earliest time at which each partition can start its next call.
     next_start_at: Vec<Micros>,
+    /// The minimum interval between the calls that a partition starts, which is also the mean service time.
     service_time: Micros,
     max_wait: Micros,
-    client_timeout: Micros,
+    /// The time after which a gateway abandons a call.
+    call_timeout: Micros,
     statistics: CounterStatistics,
 }
 
 impl Counter {
-    /// A counter with a fraction of the calls per second of its settings.
+    /// Creates a counter with a fraction of the capacity in the settings.
     pub(crate) fn new(settings: &experiment::Counter, fraction: f64) -> Self {
         let partition_calls_per_s = settings.calls_per_s * fraction / f64::from(settings.partitions);
         Self {
@@ -65,7 +68,7 @@
             next_start_at: vec![0; settings.partitions as usize],
             service_time: (1e6 / partition_calls_per_s).round() as Micros,
             max_wait: time::from_ms(settings.max_wait_ms),
-            client_timeout: (settings.timeout_ms * COUNTER_TIMEOUT_MULTIPLE * 1000.0) as Micros,
+            call_timeout: (settings.timeout_ms * COUNTER_TIMEOUT_MULTIPLE * 1000.0) as Micros,
             statistics: CounterStatistics::default(),
         }
     }
@@ -74,7 +77,7 @@
         self.statistics
     }
 
-    /// Serves a call that has reached the counter, or rejects it if it would wait too long.
+    /// Serves an arriving call, or rejects it if it would wait too long.
     pub(crate) fn serve(&mut self, call: &CounterCall, now: Micros, random: &mut Random) -> CounterReply {
         self.statistics.calls += 1;
         if self.statistics.calls.is_multiple_of(CALLS_BETWEEN_CLEANUPS) {
@@ -97,12 +100,13 @@
         CounterReply { result: CounterResult::Total(total.value), at }
     }
 
-    /// The reply as the calling gateway sees it: abandoned where it comes after the gateway's timeout.
+    /// The reply as the gateway observes it. If it would arrive after the gateway's timeout, the result is
+    /// `Unknown` at the time of the timeout.
     pub(crate) fn reply_at_gateway(
         &mut self, call: &CounterCall, reply: &CounterReply, network_delay: Micros, now: Micros,
     ) -> CounterReply {
         let at = reply.at + network_delay;
-        let timeout_at = call.sent_at + self.client_timeout;
+        let timeout_at = call.sent_at + self.call_timeout;
         if at <= timeout_at {
             return CounterReply { result: reply.result, at };
         }
--- a/fleet/src/discovery.rs
+++ b/fleet/src/discovery.rs
@@ -1,42 +1,42 @@
-//! Discovery: the endpoint lists it publishes, and the changes it collects.
+//! The model of discovery, which collects changes of endpoints and publishes endpoint lists.
 
 use crate::endpoint_list::{EndpointList, EndpointListError};
 use crate::list_format::{ListEntry, ListKind, format_list};
 
-/// A list that was published.
+/// An endpoint list that discovery published.
 pub(crate) struct PublishedList {
-    /// The list as a gateway reads it.
+    /// The list as parsed by a gateway.
     pub(crate) list: EndpointList,
-    /// The size of its text.
+    /// The size of the list's text.
     pub(crate) bytes: u64,
 }
 
-/// Discovery's state.
+/// All published lists, and the changes that are not published yet.
 #[derive(Default)]
 pub(crate) struct Discovery {
-    /// All lists; the version of a list is its index plus 1.
+    /// All published lists. The version of a list is its index plus 1.
     published: Vec<PublishedList>,
     /// Changes since the last list.
-    pending: Vec<ListEntry>,
+    pending_changes: Vec<ListEntry>,
 }
 
 impl Discovery {
-    /// The list with an index.
+    /// The published list at an index.
     pub(crate) fn list(&self, index: usize) -> &PublishedList {
         &self.published[index]
     }
 
-    /// How many lists were published.
+    /// The number of published lists.
     pub(crate) fn list_count(&self) -> usize {
         self.published.len()
     }
 
-    /// Records a change for the next list.
-    pub(crate) fn record(&mut self, entry: ListEntry) {
-        self.pending.push(entry);
+    /// Records a change to publish in the next list.
+    pub(crate) fn record_change(&mut self, entry: ListEntry) {
+        self.pending_changes.push(entry);
     }
 
-    /// Publishes a complete list and returns its index.
+    /// Publishes a snapshot of all endpoints and returns its index.
     ///
     /// # Errors
     /// When the gateways' parser rejects it.
@@ -44,12 +44,12 @@
         self.publish(ListKind::Snapshot, entries)
     }
 
-    /// Publishes the changes since the last list, if there are any, and returns its index.
+    /// Publishes the changes since the last list, if there are any, as a delta and returns its index.
     ///
     /// # Errors
     /// When the gateways' parser rejects it.
     pub(crate) fn publish_changes(&mut self) -> Result<Option<usize>, EndpointListError> {
-        let entries = std::mem::take(&mut self.pending);
+        let entries = std::mem::take(&mut self.pending_changes);
         if entries.is_empty() { Ok(None) } else { self.publish(ListKind::Delta, &entries).map(Some) }
     }
 
--- a/fleet/src/endpoints.rs
+++ b/fleet/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints: cores, queues, slow start, and what each was sent while it was warming up.
+//! The model of the endpoints: their cores, queues and slow start, and the attempts sent to each.
 
 use crate::experiment::{self, Class};
 use crate::list_format::ListEntry;
@@ -9,27 +9,26 @@
 /// An attempt that has reached an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Job {
-    /// The request.
+    /// The request ID.
     pub(crate) id: u64,
-    /// The number of the attempt.
+    /// The index of the attempt within its request, starting at 0.
     pub(crate) attempt: u32,
     pub(crate) gateway: u32,
-    /// Work at speed 1, µs.
+    /// The service time at speed 1, in µs.
     pub(crate) work: f64,
 }
 
-/// A job that an endpoint has started.
+/// A job that an endpoint has started to process.
 pub(crate) struct StartedJob {
     pub(crate) job: Job,
     pub(crate) service_time: Micros,
 }
 
-/// What an endpoint does with a job.
+/// How an endpoint responds to the arrival of a job.
 pub(crate) enum Acceptance {
-    /// It starts at once.
-    Started {
-        service_time: Micros,
-    },
+    /// A core is free, and processing starts immediately.
+    Started { service_time: Micros },
+    /// All cores are busy, and the job waits in the queue.
     Queued,
     /// The queue is full.
     Rejected,
@@ -42,19 +41,19 @@
     /// A removed endpoint finishes its jobs and accepts no new ones.
     state: EndpointState,
     speed: f64,
-    /// `None` if it ran before the simulation began.
+    /// `None` if the endpoint was already running at the start of the simulation.
     started_at: Option<Micros>,
     busy_cores: u32,
     queue: VecDeque<Job>,
     attempts: u64,
-    /// One bit for each gateway that ever sent to it.
-    senders: Vec<u64>,
-    /// Attempts within the overload window, while it is warming up.
+    /// A bit set of the gateways that sent at least one attempt to the endpoint, by gateway index.
+    sender_bits: Vec<u64>,
+    /// During slow start, the times of the attempts within the overload window.
     recent_attempts: VecDeque<Micros>,
 }
 
 impl Endpoint {
-    /// Its zone, counted over all regions.
+    /// The endpoint's zone. Zones are numbered across all regions.
     pub(crate) fn zone(&self) -> u32 {
         self.zone
     }
@@ -67,42 +66,42 @@
         self.queue.len()
     }
 
-    /// Attempts that it was sent.
+    /// The number of attempts sent to the endpoint.
     pub(crate) fn attempts(&self) -> u64 {
         self.attempts
     }
 
-    /// How many gateways ever sent to it.
+    /// The number of gateways that sent at least one attempt to the endpoint.
     pub(crate) fn sender_count(&self) -> u32 {
-        self.senders.iter().map(|bits| bits.count_ones()).sum()
+        self.sender_bits.iter().map(|bits| bits.count_ones()).sum()
     }
 
-    /// Whether it was ready from the start of the simulation to its end.
+    /// Whether the endpoint has been ready since the start of the simulation.
     pub(crate) fn was_always_ready(&self) -> bool {
         self.state == EndpointState::Ready && self.started_at.is_none()
     }
 }
 
-/// Attempts sent to endpoints in slow start, and the highest of them relative to what is allowed.
+/// Attempts sent to endpoints in slow start, and the overload window with the highest ratio to its budget.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SlowStartStatistics {
-    /// Endpoints that started.
+    /// The number of endpoints that started during the simulation.
     pub(crate) starts: u64,
-    /// Attempts sent to them during slow start.
+    /// The number of attempts sent to them during slow start.
     pub(crate) attempts: u64,
-    /// The highest ratio of attempts to budget within an overload window ...
+    /// The highest ratio of attempts to budget within an overload window.
     pub(crate) worst_ratio: f64,
-    /// ... its attempts ...
+    /// The attempts in the window with the highest ratio.
     pub(crate) worst_attempts: u64,
-    /// ... and its budget.
+    /// The budget of the window with the highest ratio.
     pub(crate) worst_budget: f64,
 }
 
-/// All endpoints, those that were removed included.
+/// All endpoints of the fleet, including removed ones.
 pub(crate) struct Endpoints {
-    all: Vec<Endpoint>,
+    endpoints: Vec<Endpoint>,
     settings: experiment::Endpoints,
-    /// The mean work of a request, µs.
+    /// The mean service time of a request at speed 1, in µs.
     mean_work: f64,
     gateway_count: u32,
     slow_start: SlowStartStatistics,
@@ -113,7 +112,7 @@
         let weights: f64 = classes.iter().map(|class| class.request_weight).sum();
         let work: f64 = classes.iter().map(|class| class.request_weight * class.mean_work_ms * 1000.0).sum();
         Self {
-            all: Vec::new(),
+            endpoints: Vec::new(),
             settings: settings.clone(),
             mean_work: work / weights,
             gateway_count,
@@ -124,7 +123,7 @@
     /// Adds an endpoint and returns its number.
     pub(crate) fn add(&mut self, zone: u32, cell: u64, speed: f64, started_at: Option<Micros>) -> u32 {
         self.slow_start.starts += u64::from(started_at.is_some());
-        self.all.push(Endpoint {
+        self.endpoints.push(Endpoint {
             zone,
             cell,
             state: EndpointState::Ready,
@@ -133,41 +132,41 @@
             busy_cores: 0,
             queue: VecDeque::new(),
             attempts: 0,
-            senders: vec![0; self.gateway_count.div_ceil(u64::BITS) as usize],
+            sender_bits: vec![0; self.gateway_count.div_ceil(u64::BITS) as usize],
             recent_attempts: VecDeque::new(),
         });
-        self.all.len() as u32 - 1
+        self.endpoints.len() as u32 - 1
     }
 
-    /// Adds an endpoint in the zone and the cell of another.
+    /// Adds an endpoint in the same zone and cell as the one it replaces.
     pub(crate) fn add_successor(&mut self, replaced: u32, speed: f64, now: Micros) -> u32 {
-        let Endpoint { zone, cell, .. } = self.all[replaced as usize];
+        let Endpoint { zone, cell, .. } = self.endpoints[replaced as usize];
         self.add(zone, cell, speed, Some(now))
     }
 
     pub(crate) fn get(&self, endpoint: u32) -> &Endpoint {
-        &self.all[endpoint as usize]
+        &self.endpoints[endpoint as usize]
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Endpoint> + Clone {
-        self.all.iter()
+        self.endpoints.iter()
     }
 
     pub(crate) fn count(&self) -> usize {
-        self.all.len()
+        self.endpoints.len()
     }
 
     pub(crate) fn slow_start(&self) -> SlowStartStatistics {
         self.slow_start
     }
 
-    /// Changes the state of an endpoint and returns the change for the endpoint list.
+    /// Changes the state of an endpoint and returns its new entry for the endpoint list.
     pub(crate) fn set_state(&mut self, endpoint: u32, state: EndpointState) -> ListEntry {
-        self.all[endpoint as usize].state = state;
+        self.endpoints[endpoint as usize].state = state;
         self.list_entry(endpoint)
     }
 
-    /// The entry of an endpoint in the endpoint list.
+    /// The current entry of an endpoint for the endpoint list.
     pub(crate) fn list_entry(&self, number: u32) -> ListEntry {
         let endpoint = self.get(number);
         ListEntry {
@@ -179,14 +178,14 @@
         }
     }
 
-    /// Requests per second that all ready endpoints can process at full capacity.
+    /// The requests per second that all ready endpoints together can process after slow start.
     pub(crate) fn capacity(&self) -> f64 {
-        let ready = self.all.iter().filter(|endpoint| endpoint.state == EndpointState::Ready);
+        let ready = self.endpoints.iter().filter(|endpoint| endpoint.state == EndpointState::Ready);
         let speed: f64 = ready.map(|endpoint| endpoint.speed).sum();
         speed * f64::from(self.settings.cores) / self.mean_work * 1e6
     }
 
-    /// The fraction of its capacity that an endpoint has.
+    /// The fraction of its full capacity that an endpoint has, which rises linearly during slow start.
     fn capacity_fraction(&self, endpoint: u32, now: Micros) -> f64 {
         let Some(started_at) = self.get(endpoint).started_at else { return 1.0 };
         let settings = &self.settings;
@@ -196,12 +195,12 @@
             + (1.0 - settings.slow_start_initial_fraction) * slow_start_progress
     }
 
-    /// Records that a gateway sends an attempt.
+    /// Records an attempt that a gateway sends to an endpoint.
     pub(crate) fn record_attempt(&mut self, number: u32, gateway: u32, now: Micros) {
         let capacity_fraction = self.capacity_fraction(number, now);
-        let endpoint = &mut self.all[number as usize];
+        let endpoint = &mut self.endpoints[number as usize];
         endpoint.attempts += 1;
-        endpoint.senders[(gateway / u64::BITS) as usize] |= 1 << (gateway % u64::BITS);
+        endpoint.sender_bits[(gateway / u64::BITS) as usize] |= 1 << (gateway % u64::BITS);
         if capacity_fraction >= 1.0 {
             endpoint.recent_attempts.clear();
         } else {
@@ -209,19 +208,20 @@
         }
     }
 
-    /// Compares the attempts of all gateways within the overload window with their budget, which
-    /// [`SlowStartLoad`](crate::report::SlowStartLoad) defines.
+    /// Compares the attempts of all gateways within the overload window with the budget that is defined at
+    /// [`SlowStartLoad`](crate::report::SlowStartLoad).
     fn record_slow_start_attempt(&mut self, number: u32, capacity_fraction: f64, now: Micros) {
         let settings = &self.settings;
-        let endpoint = &mut self.all[number as usize];
+        let endpoint = &mut self.endpoints[number as usize];
         let window = time::from_s(settings.overload_window_s);
         endpoint.recent_attempts.push_back(now);
         while endpoint.recent_attempts.front().is_some_and(|at| at + window <= now) {
             endpoint.recent_attempts.pop_front();
         }
-        let per_s = f64::from(settings.cores) * endpoint.speed * capacity_fraction / self.mean_work * 1e6;
-        let mean = settings.overload_factor * per_s * settings.overload_window_s;
-        let budget = mean + 2.0 * mean.sqrt() + 2.0;
+        let requests_per_s =
+            f64::from(settings.cores) * endpoint.speed * capacity_fraction / self.mean_work * 1e6;
+        let max_mean_attempts = settings.overload_factor * requests_per_s * settings.overload_window_s;
+        let budget = max_mean_attempts + 2.0 * max_mean_attempts.sqrt() + 2.0;
         let attempts = endpoint.recent_attempts.len() as u64;
         let ratio = attempts as f64 / budget;
         self.slow_start.attempts += 1;
@@ -232,9 +232,9 @@
         }
     }
 
-    /// Starts, queues or rejects a job that has arrived.
+    /// Starts, queues or rejects an arriving job.
     pub(crate) fn accept(&mut self, number: u32, job: Job, now: Micros) -> Acceptance {
-        let endpoint = &mut self.all[number as usize];
+        let endpoint = &mut self.endpoints[number as usize];
         if endpoint.busy_cores < self.settings.cores {
             endpoint.busy_cores += 1;
             return Acceptance::Started { service_time: self.service_time(number, job, now) };
@@ -246,16 +246,17 @@
         Acceptance::Queued
     }
 
-    /// Starts the next job whose gateway still waits, on the core of a finished job.
+    /// Starts the next queued job on the core of a finished one, or frees the core if there is none. Jobs whose
+    /// gateway no longer waits for the response are dropped.
     pub(crate) fn start_next(
-        &mut self, number: u32, now: Micros, still_wanted: impl Fn(&Job) -> bool,
+        &mut self, number: u32, now: Micros, is_awaited: impl Fn(&Job) -> bool,
     ) -> Option<StartedJob> {
-        while let Some(job) = self.all[number as usize].queue.pop_front() {
-            if still_wanted(&job) {
+        while let Some(job) = self.endpoints[number as usize].queue.pop_front() {
+            if is_awaited(&job) {
                 return Some(StartedJob { job, service_time: self.service_time(number, job, now) });
             }
         }
-        self.all[number as usize].busy_cores -= 1;
+        self.endpoints[number as usize].busy_cores -= 1;
         None
     }
 
--- a/fleet/src/gateway_process.rs
+++ b/fleet/src/gateway_process.rs
@@ -1,5 +1,5 @@
-//! One gateway process without its sockets: the real policy engine, the real endpoint registry, and a
-//! modelled pool of connections.
+//! The model of a gateway process: the real policy engine and endpoint registry, with a model of the
+//! connection pool instead of sockets.
 
 use crate::connection::ConnectionPool;
 use crate::discovery::PublishedList;
@@ -12,7 +12,7 @@
 pub(crate) const MAX_ATTEMPTS: u32 = 6;
 pub(crate) const CROSS_ZONE_COST: f64 = 0.01;
 
-/// The settings of a gateway.
+/// The policy settings of the gateway with an index.
 pub(crate) fn settings(experiment: &Experiment, gateway_count: u32, index: u32, zone: u32) -> Settings {
     let load = &experiment.load;
     let endpoints = &experiment.endpoints;
@@ -51,19 +51,20 @@
     }
 }
 
-/// Bytes of the endpoint lists that a gateway received.
+/// The bytes of endpoint lists that a gateway received, by kind of list.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ListBytes {
     pub(crate) snapshots: u64,
     pub(crate) deltas: u64,
 }
 
-/// One gateway process.
+/// A gateway process.
 pub(crate) struct GatewayProcess {
     engine: PolicyEngine,
+    /// `None` if the experiment limits the number of gateways with a registry.
     registry: Option<Registry>,
     zone: u32,
-    /// When it received each list.
+    /// When the gateway received each list, by the list's index.
     list_received_at: Vec<Option<Micros>>,
     list_bytes: ListBytes,
     pub(crate) connections: ConnectionPool,
@@ -85,7 +86,7 @@
         })
     }
 
-    /// Its zone, counted over all regions.
+    /// The gateway's zone. Zones are numbered across all regions.
     pub(crate) fn zone(&self) -> u32 {
         self.zone
     }
@@ -94,20 +95,20 @@
         self.list_bytes
     }
 
-    /// When it received the list with an index, if it did.
+    /// When the gateway received the list at an index; `None` if it has not.
     pub(crate) fn received_list_at(&self, list: usize) -> Option<Micros> {
         self.list_received_at.get(list).copied().flatten()
     }
 
-    /// Passes an event to the policy engine.
+    /// Passes an event to the policy engine and returns its actions.
     pub(crate) fn handle(&mut self, now: Micros, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.engine.handle(time::wall_clock(now), event, &mut actions);
         actions
     }
 
-    /// Applies a list to the registry, as a real gateway does first, and returns the event for the policy
-    /// engine.
+    /// Applies a list to the registry and returns the event for the policy engine. A real gateway applies a
+    /// list in the same order.
     pub(crate) fn receive_list(&mut self, published: &PublishedList, index: usize, now: Micros) -> Event {
         if self.list_received_at.len() <= index {
             self.list_received_at.resize(index + 1, None);
