--- a/fleet/src/endpoints.rs
+++ b/fleet/src/endpoints.rs
@@ -246,8 +246,8 @@
         Acceptance::Queued
     }
 
-    /// Starts the next queued job on the core of a finished one, or frees the core if there is none. Jobs whose
-    /// gateway no longer waits for the response are dropped.
+    /// Starts the next queued job on the core of a finished one, or frees the core if there is none. Drops
+    /// jobs whose gateway no longer waits for the response.
     pub(crate) fn start_next(
         &mut self, number: u32, now: Micros, is_awaited: impl Fn(&Job) -> bool,
     ) -> Option<StartedJob> {
--- a/sim-adapter/src/decode.rs
+++ b/sim-adapter/src/decode.rs
@@ -1,4 +1,4 @@
-//! Lines to messages, one function for each message.
+//! Decodes lines into messages.
 
 use crate::fields::{Fields, InvalidField};
 use crate::wire::{self, field, list_kind, message, outcome, state};
@@ -8,7 +8,7 @@
 };
 use ryefront_settings::ReadError;
 
-/// The units of a request that states none.
+/// The units of a request whose line has none.
 const DEFAULT_UNITS: f64 = 1.0;
 
 /// A line that cannot be decoded.
@@ -17,7 +17,7 @@
     /// The line is not UTF-8.
     #[error("not UTF-8")]
     NotUtf8,
-    /// Another message was expected.
+    /// The line is not the message that is expected at this position.
     #[error("found {found:?}, expected {expected}")]
     UnexpectedMessage {
         /// The line.
@@ -25,43 +25,43 @@
         /// The message that was expected.
         expected: &'static str,
     },
-    /// There is no such message.
+    /// The message is not part of the protocol.
     #[error("unknown message {0:?}")]
     UnknownMessage(String),
-    /// A field is missing or has a value that it cannot have.
+    /// A field is missing or has an invalid value.
     #[error(transparent)]
     Field(#[from] InvalidField),
-    /// The settings of an instance cannot be read.
+    /// The settings of an instance cannot be parsed.
     #[error(transparent)]
     Settings(#[from] ReadError),
 }
 
-/// One line within a batch, other than a row of an endpoint table.
+/// A message within a batch, other than a row of an endpoint table.
 pub(crate) enum Message {
     /// The batch is complete.
     BatchEnd,
-    /// An endpoint table begins, of which `row_count` rows follow.
+    /// An endpoint table begins. `row_count` rows follow.
     Table { number: u64, row_count: usize },
     /// A new instance starts.
     InstanceStarted { instance: u64, seed: u64, settings: Box<Settings> },
-    /// An instance has stopped and loses all its state.
+    /// An instance has stopped. Its state is discarded.
     InstanceStopped { instance: u64 },
-    /// An instance receives the endpoints of a table.
+    /// An instance receives the endpoints of a table as its endpoint list.
     EndpointList { instance: u64, kind: ListKind, table: Option<u64> },
-    /// Any other event of an instance.
+    /// Any other event, which is passed to an instance.
     Event { instance: u64, event: Event },
 }
 
-/// Whether a list replaces or changes the endpoints.
+/// Whether an endpoint list replaces all known endpoints or changes some of them.
 #[derive(Clone, Copy)]
 pub(crate) enum ListKind {
     Snapshot,
     Delta,
 }
 
-/// Decodes the line that begins a batch: its clock.
+/// Decodes the line that begins a batch and returns the time of the batch.
 pub(crate) fn batch_start(line: &str) -> Result<Millis, DecodeError> {
-    let mut fields = Fields::of(line);
+    let mut fields = Fields::new(line);
     if fields.text(field::MESSAGE)? != wire::BATCH_START {
         return Err(DecodeError::UnexpectedMessage { found: line.to_owned(), expected: wire::BATCH_START });
     }
@@ -70,25 +70,25 @@
 
 /// Decodes a row of an endpoint table.
 pub(crate) fn table_row(line: &str) -> Result<EndpointEntry, DecodeError> {
-    let mut fields = Fields::of(line);
+    let mut fields = Fields::new(line);
     if fields.text(field::MESSAGE)? != message::TABLE_ROW {
         return Err(DecodeError::UnexpectedMessage { found: line.to_owned(), expected: message::TABLE_ROW });
     }
     let name = fields.name(field::ENDPOINT)?;
     let zone = Name::from(fields.text(field::ZONE)?);
-    // Required by the protocol, not used by the policy.
+    // Required by the protocol but not used by the policy.
     fields.text(field::MACHINE_KIND)?;
     let cell = fields.integer(field::CELL)?;
     let state = endpoint_state(&mut fields)?;
-    // Required by the protocol, not used by the policy.
+    // Required by the protocol but not used by the policy.
     fields.optional_number(field::WEIGHT)?;
-    let started_at = positive(fields.optional_number(field::STARTED_AT)?);
+    let started_at = known_if_positive(fields.optional_number(field::STARTED_AT)?);
     Ok(EndpointEntry { name, zone, cell, state, started_at })
 }
 
-/// Decodes any other line within a batch.
+/// Decodes a line within a batch that is not a table row.
 pub(crate) fn message(line: &str) -> Result<Message, DecodeError> {
-    let mut fields = Fields::of(line);
+    let mut fields = Fields::new(line);
     let name = fields.text(field::MESSAGE)?;
     match name {
         wire::BATCH_END => return Ok(Message::BatchEnd),
@@ -127,7 +127,7 @@
 
 fn endpoint_list(instance: u64, fields: &mut Fields<'_>) -> Result<Message, DecodeError> {
     let kind_text = fields.text(field::LIST_KIND)?;
-    // Required by the protocol, not used by the policy.
+    // Required by the protocol but not used by the policy.
     fields.text(field::LIST_VERSION)?;
     let table = fields.optional_integer(field::TABLE)?;
     let kind = match kind_text {
@@ -142,11 +142,11 @@
 fn request_arrived(fields: &mut Fields<'_>) -> Result<Event, InvalidField> {
     let id = fields.integer(field::REQUEST_ID)?;
     let tenant = fields.name(field::TENANT)?;
-    // Required by the protocol, not used by the policy.
-    fields.flag(field::IS_WRITE)?;
+    // Required by the protocol but not used by the policy.
+    fields.boolean(field::IS_WRITE)?;
     let time_to_deadline = fields.millis(field::TIME_TO_DEADLINE)?;
     let class = fields.name(field::CLASS)?;
-    let client_retry = fields.flag(field::CLIENT_RETRY)?;
+    let client_retry = fields.boolean(field::CLIENT_RETRY)?;
     let first_gateway = fields.optional_integer(field::FIRST_GATEWAY)?.unwrap_or(0);
     let gateways_per_tenant = fields.optional_integer(field::GATEWAYS_PER_TENANT)?.unwrap_or(0);
     let units = fields.optional_number(field::UNITS)?.unwrap_or(DEFAULT_UNITS);
@@ -169,11 +169,11 @@
     let latency = fields.millis(field::LATENCY)?;
     let endpoint = fields.name(field::ENDPOINT)?;
     let outcome = attempt_outcome(fields)?;
-    // Required by the protocol, not used by the policy.
+    // Required by the protocol but not used by the policy.
     fields.optional_number(field::METERED_USAGE)?;
     let attempt = fields.integer(field::ATTEMPT)?;
-    let actual_units = positive(fields.optional_number(field::ACTUAL_UNITS)?);
-    let request_finished = fields.flag(field::REQUEST_FINISHED)?;
+    let actual_units = known_if_positive(fields.optional_number(field::ACTUAL_UNITS)?);
+    let request_finished = fields.boolean(field::REQUEST_FINISHED)?;
     let load_report = load_report(fields)?;
     Ok(Event::AttemptEnded(AttemptEnd {
         id,
@@ -215,8 +215,8 @@
     Ok(Event::CounterReply { key, result, latency })
 }
 
-/// The value if it is above 0, which on the wire means unknown.
-fn positive(value: Option<f64>) -> Option<f64> {
+/// Returns the value if it is positive. 0 means unknown in the protocol.
+fn known_if_positive(value: Option<f64>) -> Option<f64> {
     value.filter(|value| *value > 0.0)
 }
 
@@ -225,7 +225,7 @@
         state::READY => Ok(EndpointState::Ready),
         state::DRAINING => Ok(EndpointState::Draining),
         state::REMOVED => Ok(EndpointState::Removed),
-        unknown => Err(InvalidField::value(field::STATE, unknown, state::EXPECTED)),
+        unknown => Err(InvalidField::value(field::STATE, unknown, state::ALL_VALUES)),
     }
 }
 
@@ -249,9 +249,9 @@
         return Ok(None);
     }
     let mut report = LoadReport::default();
-    for pair in text.split(wire::LOAD_SEPARATOR) {
+    for pair in text.split(wire::LOAD_PAIR_SEPARATOR) {
         let invalid = || InvalidField::value(field::LOAD_REPORT, pair, "NAME:NUMBER");
-        let (name, value) = pair.split_once(wire::LOAD_ASSIGNMENT).ok_or_else(invalid)?;
+        let (name, value) = pair.split_once(wire::LOAD_VALUE_SEPARATOR).ok_or_else(invalid)?;
         ryefront_settings::set_load_value(&mut report, name, value.parse().map_err(|_| invalid())?);
     }
     Ok(Some(report))
--- a/sim-adapter/src/encode.rs
+++ b/sim-adapter/src/encode.rs
@@ -1,4 +1,4 @@
-//! Actions to lines.
+//! Encodes actions as lines.
 
 use crate::wire::{ALL_PEERS, TRUE, action};
 use base64::Engine as _;
@@ -6,14 +6,14 @@
 use ryefront_policy::{Action, Millis};
 use std::fmt::Write as _;
 
-/// The timeout of an attempt that has none, on the wire.
+/// How the protocol represents an attempt without a timeout.
 const NO_TIMEOUT: Millis = 0.0;
 
-/// Appends the line of an action of one instance.
+/// Appends the line for an action of an instance to a reply.
 pub(crate) fn write_action(reply: &mut String, instance: u64, action: &Action) {
     // Writing to a String cannot fail.
     let _ = match action {
-        // The simulator writes an attempt in one step, so that it has no write timeout.
+        // The simulator sends an attempt in a single step, so the write timeout does not apply.
         Action::ForwardAttempt { id, endpoint, timeout, write_timeout: _ } => {
             let timeout = timeout.unwrap_or(NO_TIMEOUT);
             writeln!(reply, "{}\t{instance}\t{id}\t{endpoint}\t{timeout:.3}", action::FORWARD_ATTEMPT)
--- a/sim-adapter/src/fields.rs
+++ b/sim-adapter/src/fields.rs
@@ -1,12 +1,12 @@
-//! The fields of one line, read in order.
+//! Reads the fields of a line in order and converts them to their types.
 
-use crate::wire::{ABSENT, FALSE, SEPARATOR, TRUE};
+use crate::wire::{ABSENT, FALSE, FIELD_SEPARATOR, TRUE};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use ryefront_policy::{Millis, Name};
 use std::str::{FromStr, Split};
 
-/// A field that is missing or has a value that it cannot have.
+/// A field that is missing or has an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidField {
     /// The line has no such field, or its value is absent.
@@ -20,9 +20,9 @@
     Value {
         /// The field.
         field: &'static str,
-        /// Its value.
+        /// The value.
         value: String,
-        /// What it may be.
+        /// A description of the valid values.
         expected: &'static str,
     },
 }
@@ -37,19 +37,20 @@
     }
 }
 
-/// The fields of one line that have not been read yet.
+/// The fields of a line that have not been read yet. Each method reads the next one and names it `field` in
+/// errors.
 pub(crate) struct Fields<'a>(Split<'a, char>);
 
 impl<'a> Fields<'a> {
-    pub(crate) fn of(line: &'a str) -> Self {
-        Self(line.split(SEPARATOR))
+    pub(crate) fn new(line: &'a str) -> Self {
+        Self(line.split(FIELD_SEPARATOR))
     }
 
     pub(crate) fn text(&mut self, field: &'static str) -> Result<&'a str, InvalidField> {
         self.0.next().ok_or(InvalidField::missing(field))
     }
 
-    /// A name, which must not be empty.
+    /// Reads a name, which must not be empty.
     pub(crate) fn name(&mut self, field: &'static str) -> Result<Name, InvalidField> {
         match self.text(field)? {
             "" => Err(InvalidField::missing(field)),
@@ -71,7 +72,7 @@
         self.optional(field, "a number")
     }
 
-    /// A time, which must be present and finite.
+    /// Reads a time or duration, which must be present and finite.
     pub(crate) fn millis(&mut self, field: &'static str) -> Result<Millis, InvalidField> {
         let value = self.optional_number(field)?.ok_or(InvalidField::missing(field))?;
         if value.is_finite() {
@@ -81,8 +82,8 @@
         }
     }
 
-    /// A boolean, which is false where it is absent.
-    pub(crate) fn flag(&mut self, field: &'static str) -> Result<bool, InvalidField> {
+    /// Reads a boolean. An absent one is false.
+    pub(crate) fn boolean(&mut self, field: &'static str) -> Result<bool, InvalidField> {
         match self.text(field)? {
             TRUE => Ok(true),
             FALSE | ABSENT => Ok(false),
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Bytes, of which there are none where the field is absent.
+    /// Reads base64-encoded bytes. An absent field is an empty sequence.
     pub(crate) fn base64(&mut self, field: &'static str) -> Result<Vec<u8>, InvalidField> {
         let text = self.text(field)?;
         if text == ABSENT {
@@ -99,10 +100,10 @@
         STANDARD.decode(text).map_err(|_| InvalidField::value(field, text, "base64"))
     }
 
-    /// All that remains of the line, tabs included.
+    /// Returns the rest of the line, including its separators.
     pub(crate) fn remaining_text(self) -> String {
         let fields: Vec<&str> = self.0.collect();
-        fields.join(&SEPARATOR.to_string())
+        fields.join(&FIELD_SEPARATOR.to_string())
     }
 
     fn optional<T: FromStr>(
--- a/sim-adapter/src/host.rs
+++ b/sim-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Batches in, replies out, and the gateway instances in between.
+//! Reads batches of events, passes them to the gateway instances, and writes their actions as replies.
 
 use crate::decode::{self, DecodeError, ListKind, Message};
 use crate::encode::write_action;
@@ -7,15 +7,15 @@
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 
-/// Why the host stopped before the end of the input.
+/// An error that stops the host before the end of the input.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
-    /// A line cannot be used.
+    /// A line is invalid.
     #[error("line {number}: {cause}")]
     Line {
-        /// The line's number, from 1.
+        /// The number of the line, starting at 1.
         number: u64,
-        /// Why.
+        /// The cause of the error.
         cause: LineError,
     },
     /// The input ended inside a batch.
@@ -29,54 +29,55 @@
     Io(#[from] std::io::Error),
 }
 
-/// Why a line cannot be used.
+/// The reason why a line is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// It cannot be decoded.
+    /// The line cannot be decoded.
     #[error(transparent)]
     Decode(#[from] DecodeError),
     /// The policy rejects the settings of an instance.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// It names an instance that is not running.
-    #[error("gateway {0} was never started")]
+    /// The line refers to an instance that is not running.
+    #[error("instance {0} is not running")]
     UnknownInstance(u64),
-    /// It names an endpoint table that was not sent.
-    #[error("no such list of endpoints")]
+    /// The line refers to an endpoint table that was not sent, or to none.
+    #[error("unknown endpoint table")]
     UnknownTable,
 }
 
-/// Whether more lines of a batch follow.
+/// Whether the batch continues after a line.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum BatchProgress {
     Incomplete,
     Complete,
 }
 
-/// The endpoint tables of the process, by their number.
+/// The endpoint tables received so far, which all instances share.
 #[derive(Default)]
-struct Tables {
-    entries: BTreeMap<u64, Vec<EndpointEntry>>,
-    /// The table whose rows are being read.
+struct EndpointTables {
+    tables: BTreeMap<u64, Vec<EndpointEntry>>,
+    /// The table whose rows are being received.
     unfinished: Option<UnfinishedTable>,
 }
 
+/// An endpoint table with rows still to follow.
 struct UnfinishedTable {
     number: u64,
-    /// At least 1.
+    /// The number of rows still to follow, at least 1.
     remaining_rows: usize,
 }
 
-impl Tables {
-    /// Replaces a table, of which `row_count` rows follow.
+impl EndpointTables {
+    /// Begins a table of `row_count` rows, which replaces any earlier table of the same number.
     fn begin(&mut self, number: u64, row_count: usize) {
-        self.entries.insert(number, Vec::new());
+        self.tables.insert(number, Vec::new());
         self.unfinished = (row_count > 0).then_some(UnfinishedTable { number, remaining_rows: row_count });
     }
 
     fn add_row(&mut self, entry: EndpointEntry) {
         let Some(table) = &mut self.unfinished else { return };
-        self.entries.entry(table.number).or_default().push(entry);
+        self.tables.entry(table.number).or_default().push(entry);
         table.remaining_rows -= 1;
         if table.remaining_rows == 0 {
             self.unfinished = None;
@@ -84,27 +85,27 @@
     }
 
     fn get(&self, number: Option<u64>) -> Result<&[EndpointEntry], LineError> {
-        let entries = number.and_then(|number| self.entries.get(&number));
+        let entries = number.and_then(|number| self.tables.get(&number));
         entries.map(Vec::as_slice).ok_or(LineError::UnknownTable)
     }
 }
 
-/// All gateway instances that one process hosts.
+/// Hosts any number of gateway instances in one process.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, PolicyEngine>,
-    tables: Tables,
-    /// The clock of the batch that is being read.
+    endpoint_tables: EndpointTables,
+    /// The time of the current batch; `None` between batches.
     now: Option<Millis>,
     reply: String,
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Reads batches until the input ends and replies to each.
+    /// Reads batches until the input ends and writes a reply to each.
     ///
     /// # Errors
-    /// On the first line that cannot be used, and when the input ends inside a batch.
+    /// When a line is invalid, the input ends inside a batch, or reading or writing fails.
     pub fn run(&mut self, input: &mut impl BufRead, output: &mut impl Write) -> Result<(), HostError> {
         let mut bytes = Vec::new();
         let mut number = 0;
@@ -124,8 +125,8 @@
     fn handle_line(&mut self, bytes: &[u8]) -> Result<BatchProgress, LineError> {
         let line = std::str::from_utf8(bytes).map_err(|_| DecodeError::NotUtf8)?;
         let line = line.trim_end_matches(['\n', '\r']);
-        if self.tables.unfinished.is_some() {
-            self.tables.add_row(decode::table_row(line)?);
+        if self.endpoint_tables.unfinished.is_some() {
+            self.endpoint_tables.add_row(decode::table_row(line)?);
             return Ok(BatchProgress::Incomplete);
         }
         let Some(now) = self.now else {
@@ -137,11 +138,13 @@
                 self.now = None;
                 return Ok(BatchProgress::Complete);
             }
-            Message::Table { number, row_count } => self.tables.begin(number, row_count),
-            Message::InstanceStarted { instance, seed, settings } => self.start(instance, seed, *settings)?,
-            Message::InstanceStopped { instance } => self.stop(instance)?,
+            Message::Table { number, row_count } => self.endpoint_tables.begin(number, row_count),
+            Message::InstanceStarted { instance, seed, settings } => {
+                self.start_instance(instance, seed, *settings)?
+            }
+            Message::InstanceStopped { instance } => self.stop_instance(instance)?,
             Message::EndpointList { instance, kind, table } => {
-                let entries = self.tables.get(table)?.to_vec();
+                let entries = self.endpoint_tables.get(table)?.to_vec();
                 let event = match kind {
                     ListKind::Snapshot => Event::EndpointSnapshot(entries),
                     ListKind::Delta => Event::EndpointDelta(entries),
@@ -153,17 +156,17 @@
         Ok(BatchProgress::Incomplete)
     }
 
-    fn start(&mut self, instance: u64, seed: u64, settings: Settings) -> Result<(), LineError> {
+    fn start_instance(&mut self, instance: u64, seed: u64, settings: Settings) -> Result<(), LineError> {
         let engine = PolicyEngine::new(settings, seed)?;
         self.instances.insert(instance, engine);
         Ok(())
     }
 
-    fn stop(&mut self, instance: u64) -> Result<(), LineError> {
+    fn stop_instance(&mut self, instance: u64) -> Result<(), LineError> {
         self.instances.remove(&instance).map(drop).ok_or(LineError::UnknownInstance(instance))
     }
 
-    /// Passes an event to its instance and appends the actions to the reply.
+    /// Passes an event to an instance and appends the resulting actions to the reply.
     fn handle_event(&mut self, now: Millis, instance: u64, event: Event) -> Result<(), LineError> {
         let engine = self.instances.get_mut(&instance).ok_or(LineError::UnknownInstance(instance))?;
         engine.handle(now, event, &mut self.actions);
--- a/sim-adapter/src/lib.rs
+++ b/sim-adapter/src/lib.rs
@@ -1,9 +1,10 @@
-//! Hosts `ryefront_policy` engines on the simulator's wire: translation only, no decisions.
+//! Connects `ryefront_policy` engines to the simulator. The adapter only translates between the simulator's
+//! protocol and the events and actions of the policy; it makes no decisions.
 //!
-//! - `wire`: every name of the protocol.
-//! - `fields`: the fields of one line and their types.
-//! - `decode`: lines to messages; `encode`: actions to lines.
-//! - `host`: the batches, the endpoint tables and the instances.
+//! - `wire`: all names of the protocol.
+//! - `fields`: reads the fields of a line.
+//! - `decode` and `encode`: decode lines into messages, and encode actions as lines.
+//! - `host`: handles batches, endpoint tables and gateway instances.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/sim-adapter/src/main.rs
+++ b/sim-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! `ryefront-sim-adapter`: hosts gateways on standard input and output.
+//! `ryefront-sim-adapter` runs gateway instances for the simulator, over standard input and output.
 
 #![forbid(unsafe_code)]
 
--- a/sim-adapter/src/wire.rs
+++ b/sim-adapter/src/wire.rs
@@ -1,33 +1,33 @@
-//! Every name of the simulator's wire protocol, mapped to the terms of this workspace.
+//! The names and values of the simulator's protocol, as constants named in the terms of this workspace.
 //!
-//! A line consists of fields that are separated by tabs, of which the first names the message. A batch is
-//! [`BATCH_START`], one line for each event, and [`BATCH_END`]; a reply is one line for each action, and
-//! [`REPLY_END`].
+//! A line consists of fields separated by tabs, and the first field is the name of the message. A batch
+//! consists of a [`BATCH_START`] line, the lines of its messages, and a [`BATCH_END`] line. The reply to a
+//! batch consists of one line for each action and a [`REPLY_END`] line.
 
 /// Separates the fields of a line.
-pub(crate) const SEPARATOR: char = '\t';
-/// The value of an absent field.
+pub(crate) const FIELD_SEPARATOR: char = '\t';
+/// Marks an absent value.
 pub(crate) const ABSENT: &str = "-";
-/// The two values of a boolean field.
+/// True, in a boolean field.
 pub(crate) const TRUE: &str = "1";
-/// See [`TRUE`].
+/// False, in a boolean field.
 pub(crate) const FALSE: &str = "0";
 
-/// Begins a batch and carries its clock.
+/// Begins a batch. Its field is the time of the batch.
 pub(crate) const BATCH_START: &str = "BATCH";
 /// Ends a batch.
 pub(crate) const BATCH_END: &str = "YOUR_TURN";
 /// Ends a reply.
 pub(crate) const REPLY_END: &str = "READY";
 
-/// Messages that come in.
+/// Messages that the adapter receives.
 pub(crate) mod message {
     pub(crate) const INSTANCE_STARTED: &str = "START";
     pub(crate) const INSTANCE_STOPPED: &str = "EXIT";
-    /// A numbered endpoint table; [`TABLE_ROW`] lines follow.
+    /// Begins a numbered endpoint table. Its [`TABLE_ROW`] lines follow.
     pub(crate) const TABLE: &str = "TABLE";
     pub(crate) const TABLE_ROW: &str = "ENTRY";
-    /// An endpoint list for one instance, which refers to a [`TABLE`].
+    /// An endpoint list for an instance. Its endpoints are those of a [`TABLE`].
     pub(crate) const ENDPOINT_LIST: &str = "ANNOUNCE";
     pub(crate) const REQUEST_ARRIVED: &str = "ORDER";
     pub(crate) const STREAM_STARTED: &str = "UNDER_WAY";
@@ -39,7 +39,7 @@
     pub(crate) const COUNTER_REPLY: &str = "TOTAL";
 }
 
-/// Actions that go out.
+/// Actions that the adapter sends.
 pub(crate) mod action {
     pub(crate) const FORWARD_ATTEMPT: &str = "HAND_OFF";
     pub(crate) const REJECT: &str = "SHED";
@@ -53,10 +53,10 @@
     pub(crate) const LOG: &str = "SAY_LOG";
 }
 
-/// Addresses a [`action::GOSSIP`] to all other instances.
+/// The recipient of an [`action::GOSSIP`]: all other instances.
 pub(crate) const ALL_PEERS: &str = "all";
 
-/// Fields, as errors name them.
+/// The names of fields, for error messages. The lines do not contain them.
 pub(crate) mod field {
     pub(crate) const MESSAGE: &str = "message";
     pub(crate) const CLOCK: &str = "clock";
@@ -113,9 +113,9 @@
 pub(crate) mod list_kind {
     pub(crate) const DELTA: &str = "changes";
     pub(crate) const SNAPSHOT: &str = "all";
-    /// The snapshot that the instance held last, which may be stale.
+    /// The last snapshot that the instance received, which may be stale.
     pub(crate) const CACHED_SNAPSHOT: &str = "remembered";
-    /// A call for the endpoint list failed.
+    /// A request for the endpoint list failed.
     pub(crate) const FAILED: &str = "refused";
 }
 
@@ -124,11 +124,11 @@
     pub(crate) const READY: &str = "IN";
     pub(crate) const DRAINING: &str = "LAME";
     pub(crate) const REMOVED: &str = "OUT";
-    /// All values, as errors name them.
-    pub(crate) const EXPECTED: &str = "IN, LAME or OUT";
+    /// All valid values, for error messages.
+    pub(crate) const ALL_VALUES: &str = "IN, LAME or OUT";
 }
 
-/// Separates the pairs of a load report.
-pub(crate) const LOAD_SEPARATOR: char = ',';
-/// Separates the name and the value of such a pair.
-pub(crate) const LOAD_ASSIGNMENT: char = ':';
+/// Separates the name-value pairs of a load report.
+pub(crate) const LOAD_PAIR_SEPARATOR: char = ',';
+/// Separates the name and the value of a pair.
+pub(crate) const LOAD_VALUE_SEPARATOR: char = ':';
--- a/sim-adapter/tests/decode.rs
+++ b/sim-adapter/tests/decode.rs
@@ -40,9 +40,9 @@
 
 #[test]
 fn error_names_unknown_instance_and_unknown_table() {
-    assert_eq!(error(&["BATCH\t1", "DUE\t9\t1"]), "line 2: gateway 9 was never started");
-    assert_eq!(error(&["BATCH\t1", "EXIT\t9"]), "line 2: gateway 9 was never started");
-    assert_eq!(error(&["BATCH\t1", &start(3), ENDPOINT_LIST]), "line 3: no such list of endpoints");
+    assert_eq!(error(&["BATCH\t1", "DUE\t9\t1"]), "line 2: instance 9 is not running");
+    assert_eq!(error(&["BATCH\t1", "EXIT\t9"]), "line 2: instance 9 is not running");
+    assert_eq!(error(&["BATCH\t1", &start(3), ENDPOINT_LIST]), "line 3: unknown endpoint table");
 }
 
 #[test]
