--- a/sim-adapter/tests/common/mod.rs
+++ b/sim-adapter/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Transcripts of the wire: input lines to a fresh host, and what it replies.
+//! Passes lines to a new host and collects its replies.
 
 use ryefront_sim_adapter::{Host, HostError};
 
@@ -8,21 +8,21 @@
 "count-limit-ms":50.0,"units-top":1},"load-info":{"source":"inline"},"permissions":{"most-tries":3,
 "may-cancel":true,"max-retry-after-ms":1000.0},"rules":{"cold-from":0.2,"cold-ms":9000.0}}"#;
 
-/// A table of one endpoint.
+/// The messages for an endpoint table with one endpoint.
 #[allow(dead_code, reason = "not every test file needs it")]
 pub(crate) const TABLE: [&str; 2] = ["TABLE\t0\t1", "ENTRY\tendpoint.x\tz\tk\t0\tIN\t1\t-"];
-/// That table as the endpoint list of instance 3.
+/// The message that sends this table to instance 3 as its endpoint list.
 pub(crate) const ENDPOINT_LIST: &str = "ANNOUNCE\t3\tremembered\t1\t0";
 
-/// The lines that a fresh host replies.
+/// Passes lines to a new host and returns the lines of all its replies.
 pub(crate) fn replies(lines: &[&str]) -> Result<Vec<String>, HostError> {
     let input = lines.join("\n") + "\n";
     let mut output = Vec::new();
     Host::default().run(&mut input.as_bytes(), &mut output)?;
-    Ok(String::from_utf8(output).expect("text").lines().map(str::to_owned).collect())
+    Ok(String::from_utf8(output).expect("replies are UTF-8").lines().map(str::to_owned).collect())
 }
 
-/// The line that starts an instance.
+/// The message that starts an instance.
 pub(crate) fn start(instance: u32) -> String {
     format!("START\t{instance}\t7\t{}", SETTINGS.replace('\n', ""))
 }
