--- a/fleet/src/discovery.rs
+++ b/fleet/src/discovery.rs
@@ -39,7 +39,7 @@
     /// Publishes a snapshot of all endpoints and returns its index.
     ///
     /// # Errors
-    /// When the gateways' parser rejects it.
+    /// When the gateways' parser rejects the list.
     pub(crate) fn publish_snapshot(&mut self, entries: &[ListEntry]) -> Result<usize, EndpointListError> {
         self.publish(ListKind::Snapshot, entries)
     }
@@ -47,7 +47,7 @@
     /// Publishes the changes since the last list, if there are any, as a delta and returns its index.
     ///
     /// # Errors
-    /// When the gateways' parser rejects it.
+    /// When the gateways' parser rejects the list.
     pub(crate) fn publish_changes(&mut self) -> Result<Option<usize>, EndpointListError> {
         let entries = std::mem::take(&mut self.pending_changes);
         if entries.is_empty() { Ok(None) } else { self.publish(ListKind::Delta, &entries).map(Some) }
--- a/fleet/src/gateway_process.rs
+++ b/fleet/src/gateway_process.rs
@@ -9,10 +9,12 @@
 use crate::time::{self, Micros};
 use ryefront_policy::{Action, Event, LoadReportSource, PolicyEngine, QuotaPlan, Settings, SettingsError};
 
+/// Settings that are the same in all experiments. The measurements in `slopes` use them too.
 pub(crate) const MAX_ATTEMPTS: u32 = 6;
+/// See [`MAX_ATTEMPTS`].
 pub(crate) const CROSS_ZONE_COST: f64 = 0.01;
 
-/// The policy settings of the gateway with an index.
+/// The policy settings of the gateway at an index.
 pub(crate) fn settings(experiment: &Experiment, gateway_count: u32, index: u32, zone: u32) -> Settings {
     let load = &experiment.load;
     let endpoints = &experiment.endpoints;
--- a/fleet/src/simulation.rs
+++ b/fleet/src/simulation.rs
@@ -22,8 +22,8 @@
 
 /// Clients start to send requests once all gateways have received their first endpoint list.
 const CLIENTS_START_AT: Micros = 50_000;
-/// How long the simulation may run past the last deadline.
-const MAX_OVERRUN: Micros = 1_000_000;
+/// The simulation stops at this time after the last possible deadline, even if client attempts are open.
+const MAX_TIME_PAST_LAST_DEADLINE: Micros = 1_000_000;
 const SECOND: Micros = 1_000_000;
 /// The zone of the counter.
 const COUNTER_ZONE: u32 = 0;
@@ -41,6 +41,7 @@
     requests: Requests<'a>,
     /// The reason for a rejection, as far as the type of the current event determines it.
     rejection_reason: RejectionReason,
+    /// Draws from [`Stream::Service`].
     service_random: Random,
     metrics: Metrics,
 }
@@ -48,7 +49,7 @@
 /// Simulates an experiment with the given seed.
 ///
 /// # Errors
-/// When the policy engine rejects the generated settings, or the gateways' parser an endpoint list.
+/// When the policy engine rejects the settings of a gateway, or the parser of the gateways an endpoint list.
 pub fn run(experiment: &Experiment, seed: u64) -> Result<Report, RunError> {
     let mut simulation = Simulation::new(experiment, seed)?;
     simulation.run()?;
@@ -102,7 +103,7 @@
     fn run(&mut self) -> Result<(), RunError> {
         let end = time::from_s(self.experiment.duration_s);
         let deadlines = self.experiment.classes.iter().map(|class| class.deadline_ms);
-        let latest_end = end + time::from_ms(deadlines.fold(0.0, f64::max)) + MAX_OVERRUN;
+        let latest_end = end + time::from_ms(deadlines.fold(0.0, f64::max)) + MAX_TIME_PAST_LAST_DEADLINE;
         let mut second = 0;
         while let Some(ScheduledEvent { at, event, .. }) = self.events.pop() {
             if at > latest_end || (at > end && self.requests.client_attempts.count() == 0) {
@@ -118,14 +119,15 @@
             }
             match event {
                 SimEvent::ClientRequest(_) | SimEvent::ClientRetry(_) if at > end => {}
-                event => self.handle(event)?,
+                event => self.handle_event(event)?,
             }
         }
         self.metrics.finish(&self.requests.client_attempts.counted_open_attempts());
         Ok(())
     }
 
-    fn handle(&mut self, event: SimEvent) -> Result<(), RunError> {
+    /// Handles an event at the current time.
+    fn handle_event(&mut self, event: SimEvent) -> Result<(), RunError> {
         match event {
             SimEvent::ClientRequest(request) => {
                 self.requests.schedule_next_request(self.now, &mut self.events);
@@ -166,13 +168,13 @@
     fn dispatch(&mut self, gateway: u32, event: Event, rejection_reason: RejectionReason) {
         self.rejection_reason = rejection_reason;
         for action in self.gateways[gateway as usize].handle(self.now, event) {
-            self.perform(gateway, action);
+            self.perform_action(gateway, action);
         }
     }
 
-    fn perform(&mut self, gateway: u32, action: Action) {
+    fn perform_action(&mut self, gateway: u32, action: Action) {
         match action {
-            Action::ForwardAttempt { id, endpoint, .. } => self.forward(gateway, id, endpoint),
+            Action::ForwardAttempt { id, endpoint, .. } => self.forward_attempt(gateway, id, endpoint),
             Action::Reject { id, retry_after } => {
                 let reason = self.rejection_reason;
                 self.complete(id, Completion::Rejected { retry_after, reason });
@@ -198,7 +200,7 @@
         }
     }
 
-    fn forward(&mut self, gateway: u32, id: u64, endpoint_name: Name) {
+    fn forward_attempt(&mut self, gateway: u32, id: u64, endpoint_name: Name) {
         let endpoint = parse_endpoint_name(&endpoint_name).filter(|number| *number < self.endpoints.count());
         let attempt = self.requests.client_attempts.get(id).filter(|attempt| attempt.in_flight.is_none());
         let (Some(endpoint), Some(_)) = (endpoint, attempt) else {
@@ -221,12 +223,12 @@
         let connection = pool.connect(&route, &self.experiment.endpoints, &mut self.network, self.now);
         let Some(attempt) = self.requests.client_attempts.get_mut(id) else { return };
         let handshake = connection.handshake;
-        let in_flight = attempt.forward(endpoint, endpoint_name, handshake, self.now);
+        let number = attempt.forward(endpoint, endpoint_name, handshake, self.now);
         if attempt.request.counted {
             self.metrics.record_forwarded(&connection);
         }
         let work = attempt.request.work + connection.handshake_work;
-        let job = Job { id, attempt: in_flight, gateway, work };
+        let job = Job { id, attempt: number, gateway, work };
         let arrives_at = self.now + handshake + connection.delay;
         self.events.schedule(arrives_at, SimEvent::AttemptArrived { endpoint, job });
     }
