--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -182,8 +182,8 @@
         text: &str, choose: impl Fn(&str, Option<String>) -> Option<String>,
     ) -> Result<Self, ParseError> {
         let file: ConfigFile = serde_json::from_str(text)?;
-        let mut settings = ryefront_settings::read(&file.settings)?;
-        let permissions = Object::of(&file.settings, "permissions")?;
+        let mut settings = ryefront_settings::from_value(&file.settings)?;
+        let permissions = Object::member(&file.settings, "permissions")?;
         let connect_timeout = duration_or(DEFAULT_CONNECT_TIMEOUT, permissions.number("dial-timeout-ms")?);
         settings.connect_timeout = millis(connect_timeout);
         if settings.counter_timeout <= 0.0 {
@@ -236,7 +236,7 @@
 
 /// The timing of polls, from the time in which a draining endpoint has to be noticed.
 fn poll_timing(file_settings: &Value, settings: &Settings) -> Result<PollTiming, ParseError> {
-    let drain_grace = Object::of(file_settings, "rules")?.number("drain-grace-ms")?;
+    let drain_grace = Object::member(file_settings, "rules")?.number("drain-grace-ms")?;
     let service =
         if settings.polls_endpoints { DiscoveryService::Shared } else { DiscoveryService::LocalAgent };
     Ok(PollTiming::new(service, duration(drain_grace)))
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,8 +1,7 @@
-//! Reads the settings object and load reports of a deployment into the types of [`ryefront_policy`].
+//! Converts the settings object and load reports of a deployment to the types of [`ryefront_policy`].
 //!
-//! The simulator sends the settings object with its first message, a real gateway finds it in its
-//! configuration file. Both hosts need the same settings of the policy, so both read it with [`read`]. The
-//! keys of the object appear in this crate alone.
+//! The simulator sends the settings object in its first message; the gateway program reads it from its
+//! configuration file. Both use this crate, so that the policy gets the same settings from the same object.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -13,4 +12,4 @@
 
 pub use load_report::set_load_value;
 pub use object::{Object, ReadError};
-pub use settings::{parse, read};
+pub use settings::{from_str, from_value};
--- a/settings/src/load_report.rs
+++ b/settings/src/load_report.rs
@@ -1,8 +1,8 @@
-//! The names of the values in a load report.
+//! Maps the value names of a load report to its fields.
 
 use ryefront_policy::LoadReport;
 
-/// Sets one named value of a load report; values that the policy has no use for are ignored.
+/// Sets the value with this name in a load report. Names that the policy does not use are ignored.
 pub fn set_load_value(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "outstanding" => report.in_flight = Some(value),
--- a/settings/src/object.rs
+++ b/settings/src/object.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-/// A settings object that cannot be read.
+/// Why a settings object is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// The text is not JSON.
@@ -14,34 +14,34 @@
     /// A value has the wrong type.
     #[error("settings: {key} is not {expected}")]
     WrongType {
-        /// The value's key.
+        /// The key of the value.
         key: String,
-        /// The type that was expected.
+        /// The expected type.
         expected: &'static str,
     },
-    /// A value is none of the words that are allowed.
+    /// A string is none of the allowed values.
     #[error("settings: {key} is {found:?}, expected {expected}")]
-    UnknownWord {
-        /// The value's key.
+    UnknownValue {
+        /// The key of the value.
         key: &'static str,
-        /// The word found.
+        /// The unknown value.
         found: String,
-        /// The words that are allowed.
+        /// The allowed values.
         expected: &'static str,
     },
 }
 
-/// One JSON object of the settings. A missing key reads as zero, as false or as empty, unless its method says
-/// otherwise; a value of the wrong type is an error.
+/// A JSON object of the settings. A missing key reads as zero, false or empty, unless the method says
+/// otherwise. A value of the wrong type is an error.
 #[derive(Clone, Copy, Debug)]
 pub struct Object<'a>(pub(crate) &'a Value);
 
 impl<'a> Object<'a> {
-    /// Returns the object under a key of `value`, or an empty one if the key is missing.
+    /// Returns the object under a key of the object `value`, or an empty object if the key is missing.
     ///
     /// # Errors
-    /// When the value under the key is not an object.
-    pub fn of(value: &'a Value, key: &str) -> Result<Self, ReadError> {
+    /// If the value under the key is not an object.
+    pub fn member(value: &'a Value, key: &str) -> Result<Self, ReadError> {
         match value.get(key) {
             None => Ok(Self(&Value::Null)),
             Some(object) if object.is_object() => Ok(Self(object)),
@@ -52,33 +52,34 @@
     /// Returns the number under a key.
     ///
     /// # Errors
-    /// When the value under the key is not a number.
+    /// If the value under the key is not a number.
     pub fn number(&self, key: &str) -> Result<f64, ReadError> {
         self.value_or(key, "a number", 0.0, Value::as_f64)
     }
 
-    /// Returns the whole number under a key.
-    pub(crate) fn count(&self, key: &str) -> Result<u32, ReadError> {
+    /// Returns the unsigned integer under a key.
+    pub(crate) fn integer(&self, key: &str) -> Result<u32, ReadError> {
         let to_u32 = |value: &Value| value.as_u64().and_then(|number| u32::try_from(number).ok());
         self.value_or(key, "a small whole number", 0, to_u32)
     }
 
-    /// Returns whether the value under a key is true.
-    pub(crate) fn flag(&self, key: &str) -> Result<bool, ReadError> {
-        self.value_or(key, "true or false", false, Value::as_bool)
+    /// Returns the boolean under a key.
+    pub(crate) fn boolean(&self, key: &str) -> Result<bool, ReadError> {
+        self.boolean_or(key, false)
     }
 
-    /// Returns whether something is permitted. A missing key reads as true: what the settings do not mention
-    /// is permitted.
-    pub(crate) fn permits(&self, key: &str) -> Result<bool, ReadError> {
-        self.value_or(key, "true or false", true, Value::as_bool)
+    /// Returns the boolean under a key, or `default` if the key is missing.
+    pub(crate) fn boolean_or(&self, key: &str, default: bool) -> Result<bool, ReadError> {
+        self.value_or(key, "true or false", default, Value::as_bool)
     }
 
-    pub(crate) fn text(&self, key: &str) -> Result<&'a str, ReadError> {
+    /// Returns the string under a key.
+    pub(crate) fn string(&self, key: &str) -> Result<&'a str, ReadError> {
         self.value_or(key, "a text", "", Value::as_str)
     }
 
-    pub(crate) fn list(&self, key: &str) -> Result<&'a [Value], ReadError> {
+    /// Returns the elements of the array under a key.
+    pub(crate) fn array(&self, key: &str) -> Result<&'a [Value], ReadError> {
         self.value_or(key, "a list", &[][..], |value| value.as_array().map(Vec::as_slice))
     }
 
--- a/sim-adapter/src/decode.rs
+++ b/sim-adapter/src/decode.rs
@@ -121,7 +121,7 @@
 
 fn instance_started(instance: u64, mut fields: Fields<'_>) -> Result<Message, DecodeError> {
     let seed = fields.integer(field::SEED)?;
-    let settings = Box::new(ryefront_settings::parse(&fields.remaining_text())?);
+    let settings = Box::new(ryefront_settings::from_str(&fields.remaining_text())?);
     Ok(Message::InstanceStarted { instance, seed, settings })
 }
 
