--- a/gateway/src/counter/call_queue.rs
+++ b/gateway/src/counter/call_queue.rs
@@ -1,4 +1,4 @@
-//! The calls of one connection, shared by the callers and the task that drives the connection.
+//! The queue between the callers and the task that runs the connection.
 
 use crate::clock::millis;
 use crate::counter::pipeline::{PendingCall, Pipeline};
@@ -12,35 +12,35 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How one increment ended.
+/// The result of one increment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CompletedCall {
-    /// The key of the counter.
+    /// The counter key.
     pub key: u64,
-    /// Whether the amount was added, and the total.
+    /// Whether the amount was added, and the total if so.
     pub result: CounterResult,
-    /// The time from the call to its completion.
+    /// The time from the call to its completion or timeout.
     pub latency: Millis,
 }
 
 /// Called exactly once for each increment.
 pub type CompletionCallback = dyn Fn(CompletedCall);
 
-/// Accepts calls and reports how each completed.
+/// Accepts calls and reports the result of each.
 ///
-/// The callback may make new calls, so no borrow of the pipeline is held while it runs.
+/// The callback may make new calls, so the pipeline must not be borrowed while it runs.
 pub(super) struct CallQueue {
     call_timeout: Duration,
     on_completion: Rc<CompletionCallback>,
     pipeline: RefCell<Pipeline>,
-    /// Wakes the session when there is a new call, or when draining begins.
+    /// Wakes the session when there is a new call, or when the drain starts.
     wake: Notify,
     draining: Cell<bool>,
 }
 
 impl CallQueue {
-    /// An empty queue that accepts calls.
-    pub(super) fn open(call_timeout: Duration, on_completion: Rc<CompletionCallback>) -> Self {
+    /// Creates an empty queue that accepts calls.
+    pub(super) fn new(call_timeout: Duration, on_completion: Rc<CompletionCallback>) -> Self {
         Self {
             call_timeout,
             on_completion,
@@ -50,12 +50,12 @@
         }
     }
 
-    /// A call without a reply for this long is reported as unknown.
+    /// Returns how long a call may go without a reply before it is reported as unknown.
     pub(super) fn call_timeout(&self) -> Duration {
         self.call_timeout
     }
 
-    /// Enqueues a call, or reports at once that it was not added.
+    /// Enqueues a command. An increment that cannot be enqueued is reported at once as not added.
     pub(super) fn call(&self, command: Command) {
         if !self.enqueue(command)
             && let Command::Increment { key, .. } = command
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Enqueues a command; false when no more are accepted.
+    /// Enqueues a command. Returns false if the pipeline is closed or full.
     fn enqueue(&self, command: Command) -> bool {
         let accepted = self.pipeline.borrow_mut().push(command);
         if accepted {
@@ -73,7 +73,7 @@
         accepted
     }
 
-    /// Enqueues a ping. A queue that accepts no more calls needs none.
+    /// Enqueues a ping. If the pipeline is closed or full, none is needed.
     pub(super) fn ping(&self) {
         self.enqueue(Command::Ping);
     }
@@ -83,33 +83,33 @@
         self.pipeline.borrow_mut().accept_calls();
     }
 
-    /// Ends the connection once the completion of all calls in flight is reported.
+    /// Starts the drain: the connection closes once the results of all calls in flight are reported.
     pub(super) fn drain(&self) {
         self.draining.set(true);
         self.wake.notify_one();
     }
 
-    /// Whether the connection is to end.
+    /// Returns whether the drain has started.
     pub(super) fn is_draining(&self) -> bool {
         self.draining.get()
     }
 
-    /// Whether the connection is to end now.
+    /// Returns whether the drain is complete, so that the connection can be closed.
     pub(super) fn has_drained(&self) -> bool {
         self.is_draining() && !self.pipeline.borrow().has_unreported()
     }
 
-    /// Resolves when there is a new call, or when draining begins.
+    /// Resolves when there is a new call, or when the drain starts.
     pub(super) async fn woken(&self) {
         self.wake.notified().await;
     }
 
-    /// Whether no call is in flight.
+    /// Returns whether no call is in flight.
     pub(super) fn is_idle(&self) -> bool {
         self.pipeline.borrow().is_idle()
     }
 
-    /// Whether bytes wait to be written.
+    /// Returns whether there are bytes to write.
     pub(super) fn has_output(&self) -> bool {
         self.pipeline.borrow().has_output()
     }
@@ -119,23 +119,23 @@
         self.pipeline.borrow_mut().write_to(stream)
     }
 
-    /// The command that the next reply belongs to.
+    /// Returns the command that the next reply belongs to.
     pub(super) fn oldest_command(&self) -> Option<Command> {
         self.pipeline.borrow().oldest().map(|call| call.command)
     }
 
-    /// When the call was made that the next reply belongs to.
+    /// Returns when the call was made that the next reply belongs to.
     pub(super) fn oldest_started_at(&self) -> Option<Instant> {
         self.pipeline.borrow().oldest().map(|call| call.started_at)
     }
 
-    /// When the next call times out.
+    /// Returns when the next call times out.
     pub(super) fn next_timeout(&self) -> Option<Instant> {
         let pipeline = self.pipeline.borrow();
         pipeline.oldest_unreported().map(|call| call.started_at + self.call_timeout)
     }
 
-    /// Removes the oldest call and reports its completion, unless that has been done.
+    /// Removes the oldest call and reports its result, unless it has been reported as timed out.
     pub(super) fn complete_oldest(&self, result: CounterResult) {
         let call = self.pipeline.borrow_mut().pop();
         if let Some(call) = call {
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Reports calls past their timeout as unknown, also those not completely written: they may be written
-    /// later. They remain in the queue, as their replies may still arrive.
+    /// Reports calls past their timeout as unknown, even if they are not fully written, as they may be
+    /// written later. They remain in the pipeline, as their replies may still arrive.
     pub(super) fn report_timed_out(&self) {
         loop {
             let timed_out = self.pipeline.borrow_mut().time_out_next(self.call_timeout);
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Replaces the pipeline and reports all calls that got no reply. A call of which some byte was not
-    /// written was not added.
+    /// Replaces the pipeline and reports all calls that got no reply. A call that was not fully written
+    /// cannot have been added; the result of a written one is unknown.
     pub(super) fn fail_calls_in_flight(&self, replacement: Pipeline) {
         let failed = self.pipeline.replace(replacement);
         for call in failed.calls() {
--- a/gateway/src/counter/client.rs
+++ b/gateway/src/counter/client.rs
@@ -1,4 +1,4 @@
-//! The client of the counter as the rest of the gateway sees it.
+//! The public interface of the counter client.
 
 use crate::counter::call_queue::CompletionCallback;
 use crate::counter::connection::PipelinedConnection;
@@ -9,11 +9,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How many connections are open to the counter. A key always uses the same one, so that its calls keep their
-/// order.
+/// The number of connections to the counter. Calls for one key always use the same connection, which keeps
+/// them in order.
 pub const CONNECTION_COUNT: usize = 2;
 
-/// Calls the shared counter and reports how each call completed.
+/// Calls the shared counter and reports the result of each call.
 pub struct CounterClient {
     address: Cell<SocketAddr>,
     call_timeout: Duration,
@@ -22,11 +22,11 @@
 }
 
 impl CounterClient {
-    /// Connects, and reconnects whenever a connection breaks. A call without a reply within `call_timeout` is
-    /// reported as [`Unknown`](ryefront_policy::CounterResult::Unknown).
+    /// Starts the tasks that keep the connections established. A call without a reply within `call_timeout`
+    /// is reported as [`Unknown`](ryefront_policy::CounterResult::Unknown).
     ///
     /// # Panics
-    /// Outside of a [`LocalSet`](tokio::task::LocalSet).
+    /// If called outside of a [`LocalSet`](tokio::task::LocalSet).
     pub fn start(address: SocketAddr, call_timeout: Duration, on_completion: Rc<CompletionCallback>) -> Self {
         let connections = open_connections(address, call_timeout, &on_completion);
         Self {
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Sends further calls to another address. Calls in flight complete on the old connections.
-    pub fn migrate_to(&self, address: SocketAddr) {
+    /// Sends all further calls to `address`. Calls in flight complete on the old connections.
+    pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) == address {
             return;
         }
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Adds `amount` to the counter with this key, which expires `ttl` after its first use. The completion is
-    /// reported later, or at once when no connection accepts the call.
+    /// Adds `amount` to the counter with this key, which expires `ttl` after its first use. The result is
+    /// reported later, or at once if the connection accepts no calls.
     pub fn increment(&self, key: u64, amount: f64, ttl: Millis) {
         let connection = self.connections.borrow()[key as usize % CONNECTION_COUNT].clone();
         connection.call(Command::Increment { key, amount, ttl });
--- a/gateway/src/counter/connection.rs
+++ b/gateway/src/counter/connection.rs
@@ -15,13 +15,14 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A connection attempt may last this much longer than a call.
+/// How much longer than the call timeout the connect timeout is.
 const CONNECT_TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
-/// The delay after a connection without a reply, doubled with each further one up to the maximum.
+/// The delay after a connection on which no reply was received. It doubles with each further one, up to
+/// [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// A connection that is kept established until it is drained.
+/// A connection that is re-established whenever it ends, until it is drained.
 pub(super) struct PipelinedConnection {
     address: SocketAddr,
     calls: CallQueue,
@@ -29,23 +30,23 @@
 }
 
 impl PipelinedConnection {
-    /// Connects in a task of its own.
+    /// Starts a task that keeps the connection established.
     pub(super) fn start(
         address: SocketAddr, call_timeout: Duration, on_completion: Rc<CompletionCallback>,
     ) -> Rc<Self> {
-        let calls = CallQueue::open(call_timeout, on_completion);
+        let calls = CallQueue::new(call_timeout, on_completion);
         let connection = Rc::new(Self { address, calls, reply_error_logged: Cell::new(false) });
         spawn(connection.clone().run());
         connection
     }
 
-    /// Makes a call; its completion is reported later, or at once when the connection accepts none.
+    /// Makes a call. Its result is reported later, or at once if the connection accepts no calls.
     pub(super) fn call(&self, command: Command) {
         self.calls.call(command);
     }
 
-    /// Closes the connection once the completion of all calls in flight is reported. No calls may be made
-    /// after this.
+    /// Closes the connection once the results of all calls in flight are reported. No further calls may be
+    /// made.
     pub(super) fn drain(&self) {
         self.calls.drain();
     }
@@ -54,8 +55,8 @@
         let mut backoff = MIN_BACKOFF;
         while !self.calls.is_draining() {
             if self.connect_and_run_session().await {
-                // A counter that has replied is reachable, and every moment without a connection to it leaves
-                // quotas unmetered: reconnect at once, and enqueue calls for the next connection meanwhile.
+                // A counter that has replied is reachable, and usage cannot be counted without a connection:
+                // reconnect at once, and enqueue calls for the next connection meanwhile.
                 self.calls.fail_calls_in_flight(Pipeline::open());
                 backoff = MIN_BACKOFF;
                 continue;
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Runs one connection to its end; returns whether the counter sent any valid reply on it.
+    /// Runs one connection to its end. Returns whether any valid reply was received on it.
     async fn connect_and_run_session(&self) -> bool {
         let Some(stream) = self.connect().await else { return false };
         let mut session = Session::new(&self.calls, &stream);
@@ -81,8 +82,8 @@
         has_replied
     }
 
-    /// Connects. Calls are enqueued meanwhile, until the first of them may have timed out; later ones are
-    /// reported as not added until the connection is established.
+    /// Connects. Calls are enqueued meanwhile, for at most the call timeout; after that, enqueued and further
+    /// calls are reported as not added until the connection is established.
     async fn connect(&self) -> Option<TcpStream> {
         self.calls.accept_calls();
         let call_timeout = self.calls.call_timeout();
--- a/gateway/src/counter/mod.rs
+++ b/gateway/src/counter/mod.rs
@@ -1,9 +1,9 @@
 //! The client of the shared counter: increments over a few pipelined RESP2 connections.
 //!
-//! [`CounterClient`] picks the connection of a key. A connection (`connection`) is re-established with
+//! [`CounterClient`] selects the connection by key. A connection (`connection`) is re-established with
 //! backoff; while it is established, a session (`session`) writes calls, matches replies to them and enforces
-//! the timeouts. The calls in flight (`pipeline`) are shared through a queue (`call_queue`). `resp` encodes
-//! commands and decodes replies.
+//! the timeouts. The calls in flight are kept in a `pipeline`, which callers and session share through a
+//! `call_queue`. `resp` encodes commands and decodes replies.
 
 mod call_queue;
 mod client;
--- a/gateway/src/counter/pipeline.rs
+++ b/gateway/src/counter/pipeline.rs
@@ -1,4 +1,4 @@
-//! The calls in flight on one connection, and those of their bytes that are not written yet.
+//! The calls in flight on one connection, and their bytes that are yet to be written.
 
 use crate::counter::resp::Command;
 use crate::socket::is_transient;
@@ -8,36 +8,38 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The most calls on one connection without a reply.
+/// The maximum number of calls in flight on one connection.
 const MAX_CALLS_IN_FLIGHT: usize = 1024;
 
-/// A call without a reply.
+/// A call that has not been replied to.
 #[derive(Clone, Copy)]
 pub(super) struct PendingCall {
     pub(super) command: Command,
     pub(super) started_at: Instant,
-    /// Whether its completion is still to be reported. That of a ping never is.
+    /// Whether the result is yet to be reported. The result of a ping never is.
     pub(super) awaits_report: bool,
-    /// The offset of the byte after its last one, in all bytes written on this connection.
+    /// The offset of the end of the call in the bytes written on this connection.
     end_offset: u64,
 }
 
-/// A queue of calls in the order in which they are written and replied to.
+/// The calls in flight, in the order in which they are written and replied to.
 #[derive(Default)]
 pub(super) struct Pipeline {
     accepts_calls: bool,
+    /// The bytes that are yet to be written.
     output: VecDeque<u8>,
+    /// The number of bytes written on this connection.
     bytes_written: u64,
     calls: VecDeque<PendingCall>,
 }
 
 impl Pipeline {
-    /// An empty pipeline that accepts calls.
+    /// Creates an empty pipeline that accepts calls.
     pub(super) fn open() -> Self {
         Self { accepts_calls: true, ..Self::default() }
     }
 
-    /// An empty pipeline that rejects calls.
+    /// Creates an empty pipeline that rejects calls.
     pub(super) fn closed() -> Self {
         Self::default()
     }
@@ -47,7 +49,7 @@
         self.accepts_calls = true;
     }
 
-    /// Enqueues a call; false when the pipeline is closed or full.
+    /// Enqueues a call. Returns false if the pipeline is closed or full.
     #[must_use]
     pub(super) fn push(&mut self, command: Command) -> bool {
         if !self.accepts_calls || self.calls.len() >= MAX_CALLS_IN_FLIGHT {
@@ -63,27 +65,27 @@
         true
     }
 
-    /// Whether bytes wait to be written.
+    /// Returns whether there are bytes to write.
     pub(super) fn has_output(&self) -> bool {
         !self.output.is_empty()
     }
 
-    /// Whether no call is in flight.
+    /// Returns whether no call is in flight.
     pub(super) fn is_idle(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// The call that the next reply belongs to.
+    /// Returns the call that the next reply belongs to.
     pub(super) fn oldest(&self) -> Option<&PendingCall> {
         self.calls.front()
     }
 
-    /// The oldest call whose completion is still to be reported.
+    /// Returns the oldest call whose result is yet to be reported.
     pub(super) fn oldest_unreported(&self) -> Option<&PendingCall> {
         self.calls.iter().find(|call| call.awaits_report)
     }
 
-    /// Whether the completion of a call is still to be reported.
+    /// Returns whether the result of any call is yet to be reported.
     pub(super) fn has_unreported(&self) -> bool {
         self.oldest_unreported().is_some()
     }
@@ -93,8 +95,8 @@
         self.calls.pop_front()
     }
 
-    /// Marks the oldest unreported call as reported, if it has waited for `timeout`, and returns it as it
-    /// was. It keeps its position in the queue, as its reply may still arrive.
+    /// If the oldest unreported call has waited for `timeout`, marks it as reported and returns a copy of
+    /// it in its unreported state. It remains in the pipeline, as its reply may still arrive.
     pub(super) fn time_out_next(&mut self, timeout: Duration) -> Option<PendingCall> {
         let oldest = self.calls.iter_mut().find(|call| call.awaits_report)?;
         if oldest.started_at.elapsed() < timeout {
@@ -105,12 +107,12 @@
         Some(timed_out)
     }
 
-    /// Whether the last byte of a call has been written.
+    /// Returns whether a call is fully written.
     pub(super) fn is_written(&self, call: &PendingCall) -> bool {
         call.end_offset <= self.bytes_written
     }
 
-    /// All calls in flight, oldest first.
+    /// Iterates over the calls in flight, oldest first.
     pub(super) fn calls(&self) -> impl Iterator<Item = &PendingCall> {
         self.calls.iter()
     }
--- a/gateway/src/counter/resp.rs
+++ b/gateway/src/counter/resp.rs
@@ -6,23 +6,23 @@
 use ryefront_policy::Millis;
 use std::collections::VecDeque;
 
-/// The most bytes of replies that are buffered before they make a complete reply.
+/// The maximum size of an incomplete reply.
 const MAX_BUFFERED_BYTES: usize = 4096;
 
 /// Amounts are rounded to a millionth of a unit.
 const AMOUNT_STEPS_PER_UNIT: f64 = 1e6;
 
-/// One command to the counter.
+/// A command to the counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Command {
-    /// Adds to a counter and returns its total.
+    /// Adds an amount to a counter and returns the new total.
     Increment { key: u64, amount: f64, ttl: Millis },
-    /// Keeps an idle connection open.
+    /// Prevents the counter from closing an idle connection.
     Ping,
 }
 
 impl Command {
-    /// Appends the command as a RESP2 array of bulk strings.
+    /// Appends the command to `output` as a RESP2 array of bulk strings.
     pub(super) fn encode(&self, output: &mut VecDeque<u8>) {
         match self {
             Self::Increment { key, amount, ttl } => {
@@ -42,24 +42,24 @@
     }
 }
 
-/// One complete reply of the counter.
+/// A complete reply of the counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Reply {
-    /// The amount was added; the total after it.
+    /// The amount was added, which resulted in this total.
     Total(f64),
-    /// The call was rejected: nothing was added.
+    /// The call was rejected, and nothing was added.
     Rejected,
     /// The reply to [`Command::Ping`].
     Pong,
 }
 
 impl Reply {
-    /// Interprets a frame as the reply to the oldest command in flight.
+    /// Decodes a frame as the reply to `oldest`, the oldest command in flight.
     pub(super) fn decode(frame: &OwnedFrame, oldest: Option<Command>) -> Result<Self, ReplyError> {
         let command = oldest.ok_or(ReplyError::Unsolicited)?;
         let reply = match frame {
             OwnedFrame::BulkString(text) => parse_total(text).map(Self::Total),
-            // After any other error the amount may have been added.
+            // Only these errors guarantee that nothing was added.
             OwnedFrame::Error(error) if error.starts_with("BUSY") || error.starts_with("ERR") => {
                 Some(Self::Rejected)
             }
@@ -79,7 +79,8 @@
     total.is_finite().then_some(total)
 }
 
-/// Bytes that cannot be matched to a call. The replies behind them are unusable too.
+/// A reply that cannot be decoded or matched to a call. The replies after it on the connection are unusable
+/// too.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReplyError {
     #[error("malformed reply, expected RESP2: {0}")]
@@ -94,23 +95,24 @@
     Unexpected { command: Command, received: FrameKind, text: String },
 }
 
-/// The bytes received that do not make a complete reply yet.
+/// The received bytes that are not decoded yet.
 #[derive(Default)]
 pub(super) struct ReplyBuffer {
     bytes: Vec<u8>,
 }
 
 impl ReplyBuffer {
+    /// Appends received bytes.
     pub(super) fn extend(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Whether a reply has begun that is not complete.
+    /// Returns whether the beginning of an incomplete reply is buffered.
     pub(super) fn has_partial_reply(&self) -> bool {
         !self.bytes.is_empty()
     }
 
-    /// Removes the next complete frame.
+    /// Removes and returns the next complete frame, if any.
     pub(super) fn next_frame(&mut self) -> Result<Option<OwnedFrame>, ReplyError> {
         let Some((frame, length)) = decode(&self.bytes).map_err(ReplyError::Malformed)? else {
             return Ok(None);
@@ -119,7 +121,7 @@
         Ok(Some(frame))
     }
 
-    /// Rejects a partial reply that is longer than any valid one.
+    /// Returns an error if the partial reply is longer than any valid reply.
     pub(super) fn check_length(&self) -> Result<(), ReplyError> {
         let received = self.bytes.len();
         if received > MAX_BUFFERED_BYTES { Err(ReplyError::TooLong { received }) } else { Ok(()) }
--- a/gateway/src/counter/session.rs
+++ b/gateway/src/counter/session.rs
@@ -1,4 +1,5 @@
-//! One established connection: writes calls, matches replies to them, and enforces the timeouts.
+//! The session on one established connection: writes calls, matches replies to them, and enforces the
+//! timeouts.
 
 use crate::counter::call_queue::CallQueue;
 use crate::counter::resp::{Reply, ReplyBuffer, ReplyError};
@@ -10,15 +11,16 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
-/// A connection with calls in flight on which nothing was received for this long is dead: a machine that
-/// vanished resets no connection.
-const DEAD_AFTER: Duration = Duration::from_secs(1);
-/// A reply is complete within this time of its first byte. Otherwise the calls behind one that never
-/// completes would time out one by one.
+/// A connection with calls in flight fails if nothing is received for this long, as a counter whose machine
+/// lost power or network does not reset its connections.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a reply may take to complete after its first byte. Without this limit, the calls behind a reply
+/// that never completes would time out one by one.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(50);
-/// An idle connection is pinged this often, as the counter closes connections that are idle for longer.
+/// The interval at which an idle connection is pinged, as the counter closes connections that are idle for
+/// longer.
 const PING_INTERVAL: Duration = Duration::from_secs(3);
-/// The size of one read.
+/// The size of the read buffer.
 const READ_BYTES: usize = 4096;
 
 /// Why a session ended.
@@ -28,19 +30,19 @@
     Io(#[from] io::Error),
     #[error("the counter closed the connection")]
     ClosedByPeer,
-    #[error("nothing was received for {} ms", DEAD_AFTER.as_millis())]
-    Dead,
+    #[error("nothing was received for {} ms", RECEIVE_TIMEOUT.as_millis())]
+    ReceiveTimeout,
     #[error(transparent)]
     Reply(#[from] ReplyError),
 }
 
-/// One established connection.
+/// The state of one established connection.
 pub(super) struct Session<'a> {
     calls: &'a CallQueue,
     stream: &'a TcpStream,
     replies: ReplyBuffer,
     last_received_at: Instant,
-    /// When the reply began that is not complete yet.
+    /// When the beginning of the current partial reply was received, if there is one.
     partial_since: Option<Instant>,
     has_replied: bool,
 }
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Whether any valid reply was received.
+    /// Returns whether any valid reply was received.
     pub(super) fn has_replied(&self) -> bool {
         self.has_replied
     }
@@ -70,12 +72,13 @@
                 read_before_timeout(self.stream).await;
             }
             self.calls.write_to(self.stream)?;
-            // Before the timeouts: a reply that has arrived is in time.
+            // Replies are read before timeouts are checked, so that a reply that has arrived counts as in
+            // time.
             self.read_replies()?;
             self.check_partial_reply()?;
             self.calls.report_timed_out();
             self.ping_if_idle();
-            self.check_liveness()?;
+            self.check_receive_timeout()?;
         }
         Ok(())
     }
@@ -92,9 +95,9 @@
         }
     }
 
-    /// When the next timeout expires: that of a call, of a partial reply, or of the connection.
+    /// Returns when the next timeout expires or the next ping is due.
     fn next_deadline(&self) -> Instant {
-        let receive_timeout = if self.calls.is_idle() { PING_INTERVAL } else { DEAD_AFTER };
+        let receive_timeout = if self.calls.is_idle() { PING_INTERVAL } else { RECEIVE_TIMEOUT };
         let receive_deadline = match self.partial_since {
             Some(since) => since + REPLY_TIMEOUT,
             None => self.last_received_at + receive_timeout,
@@ -103,7 +106,7 @@
         call_deadline.map_or(receive_deadline, |deadline| deadline.min(receive_deadline))
     }
 
-    /// Reads all that has arrived and handles the complete replies in it.
+    /// Reads all bytes that have arrived and handles the complete replies in them.
     fn read_replies(&mut self) -> Result<(), SessionError> {
         let mut received = false;
         let mut bytes = [0; READ_BYTES];
@@ -124,6 +127,7 @@
         Ok(())
     }
 
+    /// Handles the complete replies in the buffer.
     fn handle_complete_replies(&mut self) -> Result<(), ReplyError> {
         while let Some(frame) = self.replies.next_frame()? {
             self.handle_reply(&frame)?;
@@ -132,8 +136,9 @@
         self.replies.check_length()
     }
 
-    /// Matches a reply to the oldest call, as replies come in the order of the calls. A call with an invalid
-    /// reply remains in the queue and is reported as unknown with those behind it when the session ends.
+    /// Matches a reply to the oldest call, as replies arrive in the order of the calls. A call with an
+    /// invalid reply remains in the pipeline; it and those after it are reported as unknown when the
+    /// session ends.
     fn handle_reply(&self, frame: &OwnedFrame) -> Result<(), ReplyError> {
         let result = match Reply::decode(frame, self.calls.oldest_command())? {
             Reply::Total(total) => CounterResult::Total(total),
@@ -143,7 +148,7 @@
         Ok(())
     }
 
-    /// Fails the session when a reply has begun and was not completed in time.
+    /// Returns an error if a partial reply was not completed in time.
     fn check_partial_reply(&mut self) -> Result<(), ReplyError> {
         if !self.replies.has_partial_reply() {
             self.partial_since = None;
@@ -163,11 +168,11 @@
         }
     }
 
-    /// Fails the session when calls are in flight and nothing was received for too long.
-    fn check_liveness(&self) -> Result<(), SessionError> {
+    /// Returns an error if calls are in flight and nothing was received for too long.
+    fn check_receive_timeout(&self) -> Result<(), SessionError> {
         let waiting_since = self.calls.oldest_started_at().map(|at| at.max(self.last_received_at));
         match waiting_since {
-            Some(since) if since.elapsed() >= DEAD_AFTER => Err(SessionError::Dead),
+            Some(since) if since.elapsed() >= RECEIVE_TIMEOUT => Err(SessionError::ReceiveTimeout),
             _ => Ok(()),
         }
     }
--- a/gateway/src/engine.rs
+++ b/gateway/src/engine.rs
@@ -75,9 +75,9 @@
     }
 
     /// Makes further counter calls to another address.
-    pub(crate) fn migrate_counter(&self, address: SocketAddr) {
+    pub(crate) fn set_counter_address(&self, address: SocketAddr) {
         if let Some(counter) = &self.counter {
-            counter.migrate_to(address);
+            counter.set_address(address);
         }
     }
 
--- a/gateway/src/reload.rs
+++ b/gateway/src/reload.rs
@@ -52,7 +52,7 @@
 fn apply(config: &Config, discovery: &watch::Sender<SocketAddr>, engine: &Engine) {
     discovery.send_if_modified(|address| std::mem::replace(address, config.discovery) != config.discovery);
     if let Some(counter) = config.counter {
-        engine.migrate_counter(counter);
+        engine.set_counter_address(counter);
     }
     log::write(format_args!("configuration read again: discovery at {}", config.discovery));
 }
