--- a/gateway/src/discovery/endpoint_list.rs
+++ b/gateway/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery writes it: a snapshot, or a delta to an earlier version.
+//! The wire format of the endpoint list: a snapshot, or a delta to an earlier version.
 
 use ryefront_policy::{EndpointEntry, EndpointState, Name};
 use serde::Deserialize;
@@ -6,43 +6,43 @@
 use std::borrow::Cow;
 use std::net::SocketAddr;
 
-/// The most endpoints that a list may hold.
+/// The maximum number of endpoints in a list.
 const MAX_ENDPOINTS: usize = 1 << 15;
-/// The most bytes of one entry, indentation included.
+/// The maximum size of one entry, including indentation.
 const MAX_ENTRY_BYTES: usize = 512;
-/// The most bytes of a list.
+/// The maximum size of a list.
 pub(crate) const MAX_LIST_BYTES: usize = MAX_ENDPOINTS * MAX_ENTRY_BYTES;
 
-/// The endpoint list, or changes to it.
+/// A snapshot of the endpoint list, or a delta to it.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
-    /// The version that this list leads to.
+    /// The version of the list once this is applied.
     pub version: u64,
-    /// Whether endpoints that are missing from it are removed.
+    /// Whether this is a snapshot, which removes the endpoints that are not in it.
     pub is_snapshot: bool,
-    /// The entries. The last one for an endpoint applies.
+    /// The entries. If an endpoint has several, the last one applies.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// One endpoint and its address.
+/// An endpoint and its address.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// What the policy needs to know.
+    /// The entry for the policy.
     pub entry: EndpointEntry,
-    /// Where this gateway connects to it.
+    /// The address of the endpoint.
     pub address: SocketAddr,
 }
 
-/// Why an endpoint list cannot be used.
+/// Why an endpoint list is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
-    /// It is not JSON, or a field is missing or of the wrong type.
+    /// The list is not JSON, or a field is missing or has the wrong type.
     #[error("malformed endpoint list: {0}")]
     Malformed(#[from] serde_json::Error),
     /// An entry has an empty name.
     #[error("entry {index} of the endpoint list: the name is empty")]
     EmptyName {
-        /// The position of the entry, from 0.
+        /// The index of the entry, from 0.
         index: usize,
     },
     /// An entry has no valid address.
@@ -50,7 +50,7 @@
     InvalidAddress {
         /// The name of the endpoint.
         endpoint: String,
-        /// The value received.
+        /// The invalid address.
         address: String,
     },
 }
@@ -59,7 +59,7 @@
     /// Parses a list from JSON text.
     ///
     /// # Errors
-    /// When any part of it is invalid.
+    /// If any part of it is invalid.
     pub fn parse(text: &[u8]) -> Result<Self, EndpointListError> {
         serde_json::from_slice::<WireList>(text)?.decode()
     }
@@ -67,13 +67,13 @@
     /// Parses a list from a JSON value.
     ///
     /// # Errors
-    /// When any part of it is invalid.
+    /// If any part of it is invalid.
     pub fn from_value(value: &Value) -> Result<Self, EndpointListError> {
         WireList::deserialize(value)?.decode()
     }
 }
 
-/// A list as it is written. Strings are borrowed from the text where they need no unescaping, as lists are
+/// A list in its wire format. Strings are borrowed from the text unless they need unescaping, as lists can be
 /// long.
 #[derive(Deserialize)]
 struct WireList<'a> {
@@ -85,7 +85,7 @@
     entries: Vec<WireEntry<'a>>,
 }
 
-/// One entry as it is written.
+/// An entry in its wire format.
 #[derive(Deserialize)]
 struct WireEntry<'a> {
     #[serde(borrow, rename = "host")]
@@ -126,8 +126,8 @@
 }
 
 impl WireEntry<'_> {
-    /// Decodes the entry at `index`. Adjacent entries mostly name the same zone, so they share the
-    /// `last_zone`'s text.
+    /// Decodes the entry at `index`. Adjacent entries are often in the same zone, so an entry shares the
+    /// allocation of `last_zone` if the names are equal.
     fn decode(self, index: usize, last_zone: &mut Name) -> Result<ListedEndpoint, EndpointListError> {
         if self.name.is_empty() {
             return Err(EndpointListError::EmptyName { index });
@@ -146,7 +146,7 @@
             zone: last_zone.clone(),
             cell: self.cell,
             state: self.state.into(),
-            // 0 means long ago, at an unknown time.
+            // 0 stands for an unknown time long ago.
             started_at: (self.started_at > 0.0).then_some(self.started_at),
         };
         Ok(ListedEndpoint { entry, address })
--- a/gateway/src/discovery/mod.rs
+++ b/gateway/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! The endpoint list: its wire format (`endpoint_list`), the watch that follows it (`watch`), and the timing
-//! of its polls (`backoff`).
+//! The endpoint list: its wire format (`endpoint_list`), the watch that keeps it up to date (`watch`), and
+//! the timeouts and backoff of its polls (`backoff`).
 
 pub mod backoff;
 mod endpoint_list;
--- a/gateway/src/discovery/watch.rs
+++ b/gateway/src/discovery/watch.rs
@@ -1,6 +1,6 @@
-//! Follows the endpoint list by long polls, on one connection until it fails.
+//! Keeps the endpoint list up to date by long polling. A connection is used until it fails.
 //!
-//! While discovery cannot be reached, the last list remains in effect.
+//! While discovery is unreachable, the last list remains in use.
 
 use crate::discovery::backoff::{CONNECT_TIMEOUT, PollBackoff, PollFailure, PollTiming};
 use crate::discovery::endpoint_list::{EndpointList, EndpointListError, MAX_LIST_BYTES};
@@ -19,33 +19,33 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep};
 
-/// The consumer of endpoint lists.
+/// A consumer of endpoint lists.
 pub trait EndpointListSink {
-    /// Applies a snapshot or a delta. Lists are passed in the order in which they were received.
+    /// Applies a snapshot or a delta. Called in the order in which the lists were received.
     fn apply(&self, list: EndpointList);
 }
 
-/// What a watch needs at its start.
+/// The settings of a watch.
 pub struct WatchSettings {
-    /// Where discovery is. The watch follows a change at once.
+    /// The address of discovery. When it changes, the watch continues at the new address at once.
     pub address: watch::Receiver<SocketAddr>,
-    /// The version of the cached list.
+    /// The version of the cached list, from which the first poll continues.
     pub cached_version: u64,
-    /// The seed of the jitter in the backoff.
+    /// The seed of the backoff's jitter.
     pub seed: u64,
     /// The timing of the polls.
     pub timing: PollTiming,
 }
 
-/// Watches the endpoint list, for as long as the program runs.
+/// Watches the endpoint list. Never returns.
 pub async fn watch_endpoints(settings: WatchSettings, sink: Rc<dyn EndpointListSink>) {
     let mut address = settings.address;
     let mut watcher = Watcher {
         timing: settings.timing,
         sink,
         known_version: Some(settings.cached_version),
-        jitter: fastrand::Rng::with_seed(settings.seed),
-        logged: LoggedKinds::default(),
+        jitter_source: fastrand::Rng::with_seed(settings.seed),
+        error_log: ErrorLog::default(),
     };
     loop {
         let current = *address.borrow_and_update();
@@ -53,20 +53,20 @@
             () = watcher.watch_at(current) => {}
             Ok(()) = address.changed() => {}
         }
-        // Another service may number its versions differently, so the next poll is for a snapshot.
+        // The service at the new address may number its versions differently, so a snapshot is requested.
         watcher.known_version = None;
     }
 }
 
-/// Why a connection to discovery was closed.
+/// Why the watch on one connection to discovery ended.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
-    #[error("no connection")]
+    #[error("cannot connect")]
     ConnectFailed,
-    #[error("the poll is not a valid request: {0}")]
+    #[error("cannot build the poll request: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
-    #[error("the connection broke")]
-    ConnectionBroken,
+    #[error("the connection failed")]
+    ConnectionFailed,
     #[error("the connection was closed")]
     ConnectionClosed,
     #[error("no response in time")]
@@ -79,7 +79,7 @@
     InvalidList(#[from] EndpointListError),
 }
 
-/// The kinds of errors, of which each is logged once.
+/// A kind of error. Only the first error of each kind is logged.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WatchErrorKind {
     Unreachable,
@@ -103,57 +103,60 @@
             Self::UnexpectedStatus(_) | Self::InvalidList(_) => PollFailure::Rejected,
             Self::ConnectFailed
             | Self::InvalidRequest(_)
-            | Self::ConnectionBroken
+            | Self::ConnectionFailed
             | Self::ConnectionClosed => PollFailure::ConnectionLost,
         }
     }
 }
 
-/// The kinds of errors that have been logged.
+/// Logs errors, but only the first of each kind.
 #[derive(Default)]
-struct LoggedKinds(Vec<WatchErrorKind>);
+struct ErrorLog {
+    logged: Vec<WatchErrorKind>,
+}
 
-impl LoggedKinds {
-    /// Logs the first error of each kind.
+impl ErrorLog {
+    /// Logs an error unless one of its kind has been logged.
     fn log_once(&mut self, error: &WatchError) {
         let kind = error.kind();
-        if !self.0.contains(&kind) {
-            self.0.push(kind);
+        if !self.logged.contains(&kind) {
+            self.logged.push(kind);
             log::write(format_args!("discovery: {error} (logged once)"));
         }
     }
 }
 
-/// The state of the watch over all addresses and connections.
+/// The state of the watch that outlives a connection or address.
 struct Watcher {
     timing: PollTiming,
     sink: Rc<dyn EndpointListSink>,
-    /// The version after which changes are polled for; `None` to poll for a snapshot.
+    /// The version of the current list; the next poll returns changes since then. `None` to poll for a
+    /// snapshot.
     known_version: Option<u64>,
-    jitter: fastrand::Rng,
-    logged: LoggedKinds,
+    jitter_source: fastrand::Rng,
+    error_log: ErrorLog,
 }
 
 impl Watcher {
-    /// Watches at one address, on one connection after another. Never returns.
+    /// Watches the list at one address, reconnecting after each failure. Never returns.
     async fn watch_at(&mut self, address: SocketAddr) {
         let mut backoff = PollBackoff::new(self.timing);
         loop {
             let Err(error) = self.watch_on_new_connection(address, &mut backoff).await;
-            self.logged.log_once(&error);
-            let delay = backoff.record_failure(error.poll_failure(), self.jitter.f64());
+            self.error_log.log_once(&error);
+            let delay = backoff.record_failure(error.poll_failure(), self.jitter_source.f64());
             sleep(delay).await;
         }
     }
 
-    /// Connects and polls until either fails.
+    /// Connects, then polls until a poll fails or the connection closes.
     async fn watch_on_new_connection(
         &mut self, address: SocketAddr, backoff: &mut PollBackoff,
     ) -> Result<Infallible, WatchError> {
         let connecting = Connection::connect(address, CONNECT_TIMEOUT);
         let mut connection = connecting.await.map_err(|_| WatchError::ConnectFailed)?;
-        // The first poll does not wait: it shows at once whether the service responds, and returns the
-        // changes since the last connection.
+        // The first poll does not wait for changes: it returns those since the last connection, and shows
+        // whether the service responds.
         let mut wait = Duration::ZERO;
         loop {
             let request = self.poll_request(address, wait)?;
@@ -180,8 +183,8 @@
         Request::get(uri).header(HOST, address.to_string()).body(Full::default())
     }
 
-    /// Records the version of a list. A delta of a lower version is from a service that has restarted; the
-    /// next poll is for a snapshot then, as the restarted service may list other endpoints.
+    /// Records the version of a list. A delta of a lower version means that the service has restarted. It may
+    /// then list other endpoints, so the next poll is for a snapshot.
     fn update_known_version(&mut self, list: &EndpointList) {
         let restarted = !list.is_snapshot && self.known_version.is_some_and(|known| list.version < known);
         self.known_version = (!restarted).then_some(list.version);
@@ -214,14 +217,14 @@
         Err(ExchangeError::InvalidResponse) if started_at.elapsed() >= completion_timeout => {
             return Err(WatchError::Incomplete);
         }
-        Err(_) => return Err(WatchError::ConnectionBroken),
+        Err(_) => return Err(WatchError::ConnectionFailed),
     };
     if response.status() != StatusCode::OK {
         return Err(WatchError::UnexpectedStatus(response.status()));
     }
     let list = EndpointList::parse(response.body());
     drop(response);
-    // Parsing and applying a long list are two steps, so that other tasks run in between.
+    // Parsing and applying a long list both take a while, so other tasks run in between.
     yield_now().await;
     Ok(list?)
 }
