--- a/gateway/src/engine.rs
+++ b/gateway/src/engine.rs
@@ -1,7 +1,8 @@
-//! Passes events to the policy and performs the actions that it returns.
+//! The host of the policy: passes events to it and performs the actions that it returns.
 //!
 //! All decisions are made by [`ryefront_policy::PolicyEngine`]. The engine owns the table of requests in
-//! progress, and starts the tasks for attempts, health checks and timers; each posts its end as an event.
+//! progress and spawns the tasks for attempts, health checks and timers. Each task posts an event when it
+//! ends.
 
 use crate::clock::{Clock, duration, millis};
 use crate::counter::{CompletedCall, CounterClient};
@@ -25,12 +26,12 @@
 
 pub(crate) use crate::request_table::{FinalAnswer, SubmittedRequest};
 
-/// A counter call is abandoned after this many times the settings' counter timeout. A counter that is merely
-/// slow still adds the amount, and a lease block whose call was abandoned is lost. No request waits as long:
-/// the policy bounds its wait by its latency objective.
+/// The timeout of a counter call, as a multiple of the counter timeout in the settings. A counter that is
+/// merely slow still adds the amount, and the units of a lease block are lost if its call times out. No
+/// request waits that long, as the policy bounds its wait by its latency objective.
 const COUNTER_TIMEOUT_MULTIPLE: u32 = 4;
 
-/// Runs the policy: the only place where events reach it and its actions are performed.
+/// Runs the policy. Every event is passed to it and every action is performed here.
 pub struct Engine {
     clock: Clock,
     fleet_clock: FleetClockSync,
@@ -38,21 +39,20 @@
     counter: Option<CounterClient>,
     policy: RefCell<PolicyEngine>,
     requests: RefCell<RequestTable>,
-    /// Events that the policy has not handled yet.
+    /// Events that are yet to be handled by the policy.
     events: RefCell<VecDeque<Event>>,
     is_handling_events: Cell<bool>,
     /// When the policy last handled an event.
     last_event_at: Cell<Millis>,
-    /// For tasks, which must not keep the engine alive.
+    /// Cloned for tasks, which must not keep the engine alive.
     weak_self: Weak<Self>,
 }
 
 impl Engine {
-    /// Starts an engine without requests or endpoints. Without the address of a counter, all calls to it
-    /// fail.
+    /// Starts an engine without requests or endpoints. If `counter` is `None`, all counter calls fail.
     ///
     /// # Errors
-    /// When the settings cannot be used.
+    /// If the settings are invalid.
     pub fn start(
         settings: Settings, seed: u64, endpoints: Rc<EndpointRegistry>, counter: Option<SocketAddr>,
     ) -> Result<Rc<Self>, SettingsError> {
@@ -74,14 +74,14 @@
         }))
     }
 
-    /// Makes further counter calls to another address.
+    /// Sends all further counter calls to `address`.
     pub(crate) fn set_counter_address(&self, address: SocketAddr) {
         if let Some(counter) = &self.counter {
             counter.set_address(address);
         }
     }
 
-    /// Submits a request of the client with this socket. Its attempts end by the deadline.
+    /// Submits a request from the client connected by this socket. All its attempts end by `deadline`.
     pub(crate) fn submit(
         &self, arrival: impl FnOnce(RequestId) -> Arrival, request: ForwardedRequest, client: SharedStream,
         deadline: Instant,
@@ -103,22 +103,23 @@
         }
     }
 
-    /// Returns unused leased units, as no more requests will arrive. Resolves after `time`, by when the
+    /// Returns unused leased units, as no more requests will arrive. Waits for `reply_time`, within which the
     /// counter has usually replied.
-    pub(crate) async fn return_leases(&self, time: Duration) {
+    pub(crate) async fn return_leases(&self, reply_time: Duration) {
         self.post(Event::DrainStarted);
-        sleep(time).await;
+        sleep(reply_time).await;
     }
 
-    /// The number of requests without a final answer.
+    /// Returns the number of requests without a final response.
     pub(crate) fn requests_in_progress(&self) -> usize {
         self.requests.borrow().len()
     }
 
-    /// Posts an event and performs the actions it leads to. Events posted by these actions are queued, so the
-    /// policy never handles one while the actions of another are performed.
+    /// Passes an event to the policy and performs the resulting actions. Events posted meanwhile are
+    /// queued, so the policy handles the next event only once all actions of the previous one are
+    /// performed.
     fn post(&self, event: Event) {
-        self.report_pause();
+        self.detect_pause();
         self.events.borrow_mut().push_back(event);
         if self.is_handling_events.replace(true) {
             return;
@@ -134,9 +135,9 @@
         self.is_handling_events.set(false);
     }
 
-    /// Posts that the process was paused, if it was: the policy sets its maintenance timer anew all the time, so
-    /// while the process runs no long time passes between two events.
-    fn report_pause(&self) {
+    /// Posts [`Event::ProcessResumed`] if the process was paused. The maintenance timer of the policy is
+    /// always set, so a long time without events means that the process did not run.
+    fn detect_pause(&self) {
         let pause = self.clock.now() - self.last_event_at.get();
         if pause >= MIN_REPORTED_PAUSE && !self.is_handling_events.get() {
             self.events.borrow_mut().push_back(Event::ProcessResumed);
@@ -155,12 +156,12 @@
             Action::HealthCheck { endpoint } => self.check_health(endpoint),
             Action::IncrementCounter { key, amount, ttl } => self.increment_counter(key, amount, ttl),
             Action::Log(text) => log::write(text),
-            // This gateway has no gossip, and watches the endpoint list all the time.
+            // This gateway does not gossip, and always watches the endpoint list.
             Action::Gossip { .. } | Action::WatchEndpoints => {}
         }
     }
 
-    /// Gives a request its final answer, unless it has had one.
+    /// Ends a request with its final response, unless it has had one.
     fn finish(&self, id: RequestId, answer: impl FnOnce(&RequestInProgress) -> FinalAnswer) {
         let Some(request) = self.requests.borrow_mut().remove(id) else { return };
         let answer = answer(&request);
@@ -176,18 +177,19 @@
             let StartedAttempt { number, started_at, request, client, limits, cancelled } = started;
             let attempt = Attempt::new(&endpoint, request, limits, cancelled, &client);
             let result = attempt.run(&endpoints).await;
-            // Checked before the policy is notified of the end, so that it starts no retry for a client that
-            // has disconnected.
-            let has_client_left = result.response.is_none() && client.is_closed_by_peer().await;
+            // Checked before the policy handles the end of the attempt, so that it does not retry for a
+            // client that has disconnected.
+            let client_disconnected = result.response.is_none() && client.is_closed_by_peer().await;
             let Some(engine) = weak_self.upgrade() else { return };
-            if has_client_left {
+            if client_disconnected {
                 engine.client_disconnected(id);
             }
             engine.attempt_ended(id, number, endpoint, millis(started_at.elapsed()), result);
         });
     }
 
-    /// Posts the end of an attempt that was not started because its request is finished or has one in flight.
+    /// Posts the end of an attempt that was not started, because its request is finished or has another
+    /// attempt in flight.
     fn post_not_started(&self, id: RequestId, endpoint: Name) {
         let request_finished = !self.requests.borrow().contains(id);
         self.post(Event::AttemptEnded(AttemptEnd {
@@ -258,6 +260,7 @@
         }
     }
 
+    /// Passes the result of a counter call on to the fleet clock or the policy, depending on its key.
     fn counter_replied(&self, key: u64, result: CounterResult, latency: Millis) {
         if FleetClockSync::uses_key(key) {
             let counts_lost = self.fleet_clock.record_reply(result);
@@ -278,8 +281,7 @@
     }
 }
 
-/// Starts the counter's client and the synchronization with the fleet's clock, for an engine that is being
-/// built.
+/// Starts the counter client and the synchronization with the fleet's clock for an engine under construction.
 fn start_counter(address: SocketAddr, timeout: Duration, engine: &Weak<Engine>) -> CounterClient {
     spawn(synchronize_clock(engine.clone()));
     let engine = engine.clone();
@@ -292,7 +294,7 @@
 }
 
 impl EndpointListSink for Engine {
-    /// Updates the connections before the policy, so that no attempt is forwarded by an older list.
+    /// Updates the endpoint registry before the policy, so that no attempt uses an older list.
     fn apply(&self, list: EndpointList) {
         self.endpoints.apply(&list);
         let entries = list.endpoints.into_iter().map(|endpoint| endpoint.entry).collect();
@@ -302,10 +304,10 @@
     }
 }
 
-/// Keeps an engine's clock synchronized with the fleet's until the engine is dropped.
+/// Keeps an engine synchronized with the fleet's clock until the engine is dropped.
 async fn synchronize_clock(engine: Weak<Engine>) {
     if let Some(engine) = engine.upgrade() {
-        // What was counted before this process started is not known, also where no other gateway runs.
+        // Even where there are no other gateways, the usage counted before this process started is unknown.
         engine.post(Event::FleetClock { time: FleetTime::Pending });
         engine.post(Event::FleetClock { time: engine.fleet_clock.time() });
         if !engine.fleet_clock.is_shared() {
@@ -314,8 +316,8 @@
     }
     while let Some(engine) = engine.upgrade() {
         engine.poll_fleet_clock();
-        let pause = engine.fleet_clock.time_to_next_poll();
+        let delay = engine.fleet_clock.time_to_next_poll();
         drop(engine);
-        sleep(pause).await;
+        sleep(delay).await;
     }
 }
