--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration of a gateway: the environment, and the JSON file that `NODE_CONFIG` names.
+//! The configuration of a gateway, from environment variables and the JSON file whose path is in
+//! `NODE_CONFIG`.
 
 use crate::clock::{duration, millis};
 use crate::discovery::backoff::{DiscoveryService, PollTiming};
@@ -11,72 +12,72 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The variable that names the configuration file.
-const FILE_VARIABLE: &str = "NODE_CONFIG";
-/// The variables for values that the file may have as well.
+/// The environment variable with the path of the configuration file.
+const PATH_VARIABLE: &str = "NODE_CONFIG";
+/// The environment variables for values that the file may contain as well.
 const NAME_VARIABLE: &str = "NODE_NAME";
 const LISTEN_VARIABLE: &str = "NODE_LISTEN";
 const DISCOVERY_VARIABLE: &str = "NODE_DISCOVERY";
 
-/// Used where the settings have no such time.
+/// The timeouts that are used where the settings have none.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 const DEFAULT_ENDPOINT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 const DEFAULT_COUNTER_TIMEOUT: Duration = Duration::from_millis(50);
-/// Used where the configuration has no limit.
-const DEFAULT_MAX_SOCKETS: usize = 1024;
+/// The limit of file descriptors that is used where the configuration has none.
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
 
-/// A configuration that cannot be used.
+/// Why the configuration cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// No file is named.
-    #[error("{FILE_VARIABLE} is not set, expected the path of the configuration file")]
-    FileNotNamed,
+    /// The path of the file is not set.
+    #[error("{PATH_VARIABLE} is not set, expected the path of the configuration file")]
+    PathNotSet,
     /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What the system reports.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The content of the file, or a variable, cannot be used.
+    /// The content of the file, or a variable, is invalid.
     #[error("{}: {source}", path.display())]
     Invalid {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// The invalid part.
         source: ParseError,
     },
 }
 
-/// A text that is not a usable configuration.
+/// Why a configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ParseError {
-    /// It is not a JSON object of the right form.
+    /// The text is not JSON, or a field is missing or has the wrong type.
     #[error("malformed: {0}")]
     Malformed(#[from] serde_json::Error),
     /// A value is missing.
     #[error("{key} is missing, expected {expected}")]
     Missing {
-        /// The value's key.
+        /// The key of the value.
         key: &'static str,
-        /// What is valid.
+        /// The expected form of the value.
         expected: &'static str,
     },
-    /// A value is not valid.
+    /// A value is invalid.
     #[error("{key} is {found:?}, expected {expected}")]
     InvalidValue {
-        /// The value's key.
+        /// The key of the value.
         key: &'static str,
-        /// The value.
+        /// The invalid value.
         found: String,
-        /// What is valid.
+        /// The expected form of the value.
         expected: &'static str,
     },
-    /// The cached endpoint list cannot be used.
+    /// The cached endpoint list is invalid.
     #[error("known: {0}")]
     CachedEndpoints(#[from] EndpointListError),
-    /// The settings cannot be used.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] ReadError),
 }
@@ -99,10 +100,10 @@
 #[derive(Default, Deserialize)]
 struct Limits {
     #[serde(rename = "sockets")]
-    max_sockets: Option<usize>,
+    max_descriptors: Option<usize>,
 }
 
-/// Which value applies where both a variable and the file have one.
+/// Which value applies if both an environment variable and the file have one.
 #[derive(Clone, Copy)]
 enum Precedence {
     Variable,
@@ -121,50 +122,50 @@
 /// The configuration of a gateway.
 #[derive(Debug)]
 pub struct Config {
-    /// The gateway's name, for the log.
+    /// The name of the gateway, for the log.
     pub name: String,
-    /// Where clients connect.
+    /// The address to listen at for clients.
     pub listen: SocketAddr,
-    /// Where the discovery service is.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
     /// The timing of the polls to the discovery service.
     pub poll_timing: PollTiming,
-    /// Where the counter is, if there is one.
+    /// The address of the counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// The seed of all random draws.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// The most file descriptors that the process may hold.
-    pub max_sockets: usize,
-    /// The last known endpoint list, in use until discovery sends one.
+    /// The maximum number of file descriptors that the process may hold.
+    pub max_descriptors: usize,
+    /// The last known endpoint list, used until one is received from discovery.
     pub cached_endpoints: EndpointList,
-    /// A connection to an endpoint that takes longer has failed.
+    /// The timeout for connecting to an endpoint.
     pub connect_timeout: Duration,
-    /// Endpoints close connections that are idle for this long.
+    /// How long a connection may be idle before its endpoint closes it.
     pub endpoint_idle_timeout: Duration,
     /// The settings of the policy.
     pub settings: Settings,
 }
 
 impl Config {
-    /// Reads the configuration at the start of the program: variables take precedence over the file.
+    /// Reads the configuration at startup. Environment variables take precedence over the file.
     ///
     /// # Errors
-    /// When it cannot be used.
+    /// If the file cannot be read or a value is invalid.
     pub fn load() -> Result<Self, ConfigError> {
         Self::read(Precedence::Variable)
     }
 
-    /// Reads the configuration while the program runs: the file takes precedence, as the variables are from
-    /// the start of the program.
+    /// Reads the configuration while the program runs. The file takes precedence, as the environment
+    /// variables still have their values from startup.
     ///
     /// # Errors
-    /// When it cannot be used.
+    /// If the file cannot be read or a value is invalid.
     pub fn reload() -> Result<Self, ConfigError> {
         Self::read(Precedence::File)
     }
 
     fn read(precedence: Precedence) -> Result<Self, ConfigError> {
-        let path = std::env::var_os(FILE_VARIABLE).ok_or(ConfigError::FileNotNamed)?;
+        let path = std::env::var_os(PATH_VARIABLE).ok_or(ConfigError::PathNotSet)?;
         let path = Path::new(&path);
         let text = std::fs::read_to_string(path)
             .map_err(|source| ConfigError::Unreadable { path: path.into(), source })?;
@@ -172,12 +173,12 @@
             .map_err(|source| ConfigError::Invalid { path: path.into(), source })
     }
 
-    /// Parses the text of a configuration file. `choose` gets the name of a variable and the file's value,
-    /// and returns the value that applies. A time that the settings lack or have as 0 is the default one, for
-    /// both sockets and policy.
+    /// Parses the text of a configuration file. `choose` receives the name of an environment variable and the
+    /// value in the file, and returns the value that applies. A timeout that is missing or 0 in the settings
+    /// gets its default, for both sockets and policy.
     ///
     /// # Errors
-    /// When it cannot be used.
+    /// If the text is malformed or a value is missing or invalid.
     pub fn parse(
         text: &str, choose: impl Fn(&str, Option<String>) -> Option<String>,
     ) -> Result<Self, ParseError> {
@@ -197,7 +198,7 @@
             poll_timing: poll_timing(&file.settings, &settings)?,
             counter,
             seed: seed(&file.seed)?,
-            max_sockets: file.limits.max_sockets.unwrap_or(DEFAULT_MAX_SOCKETS),
+            max_descriptors: file.limits.max_descriptors.unwrap_or(DEFAULT_MAX_DESCRIPTORS),
             cached_endpoints: cached_endpoints(&file.cached_endpoints)?,
             connect_timeout,
             endpoint_idle_timeout: duration_or(
@@ -234,7 +235,8 @@
     }
 }
 
-/// The timing of polls, from the time in which a draining endpoint has to be noticed.
+/// Returns the timing of polls, so that a gateway learns of a draining endpoint within the drain grace
+/// period.
 fn poll_timing(file_settings: &Value, settings: &Settings) -> Result<PollTiming, ParseError> {
     let drain_grace = Object::member(file_settings, "rules")?.number("drain-grace-ms")?;
     let service =
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,20 +1,21 @@
-//! A quota gateway on real sockets: one process, one thread.
+//! A gateway that enforces quotas: one process with one thread.
 //!
 //! All decisions are made by [`ryefront_policy`]; the gateway passes events to it and performs its actions.
 //!
 //! In reading order:
 //!
-//! 1. [`engine`] is the center: it feeds the policy, with the `request_table` of the requests in progress and
-//!    `fleet_clock`, the time that the gateways agree on.
-//! 2. [`client`] accepts requests and responds with their final answers.
+//! 1. [`engine`] runs the policy, with `request_table`, the table of requests in progress, and `fleet_clock`,
+//!    the synchronization with the fleet's clock.
+//! 2. [`client`] accepts requests and sends their final responses.
 //! 3. [`endpoint`] forwards attempts and checks the health of endpoints; [`http_connection`] is one
 //!    connection.
 //! 4. [`counter`] calls the shared counter.
-//! 5. [`discovery`] follows the endpoint list.
-//! 6. [`startup`], [`config`], [`signals`] and [`reload`] connect the gateway to its process.
+//! 5. [`discovery`] watches the endpoint list.
+//! 6. [`startup`], [`config`], [`signals`] and [`reload`] handle the process: startup, configuration and
+//!    signals.
 //!
-//! The rest is shared: `headers` has the names of the HTTP protocols, [`socket`] and `instrumented_stream`
-//! wrap TCP streams, and `clock`, [`log`] and [`task`] are small utilities.
+//! The other modules are shared: `headers` defines the names of headers and paths, [`socket`] and
+//! `instrumented_stream` wrap TCP streams, and `clock`, [`log`] and [`task`] are utilities.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/gateway/src/log.rs
+++ b/gateway/src/log.rs
@@ -1,15 +1,16 @@
-//! The log: lines on standard error.
+//! The log, which is written to standard error.
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::io::retry_on_intr;
 use std::fmt::Display;
 use std::io::{Write, stderr};
 
-/// A pipe that is reported as writable has room for this many bytes: `PIPE_BUF` of Linux.
+/// The maximum length of a line. A pipe that is reported as writable has room for this many bytes (`PIPE_BUF`
+/// on Linux).
 const MAX_LINE_BYTES: usize = 4096;
 
-/// Writes one line, cut to 4096 bytes. If it cannot be written at once (the disk is full, the reader has closed its
-/// end or does not read) it is dropped, as that is no reason to stop serving.
+/// Writes one line, truncated to 4096 bytes. A line that cannot be written at once is dropped, so that the
+/// gateway continues to serve when the disk is full or the reader of a pipe has closed it or does not read.
 pub fn write(line: impl Display) {
     if !is_writable() {
         return;
@@ -22,7 +23,7 @@
     let _ = stderr().write_all(&line);
 }
 
-/// Whether standard error accepts a line without a wait.
+/// Returns whether a write to standard error would not block.
 fn is_writable() -> bool {
     let stderr = stderr();
     let mut descriptors = [PollFd::new(&stderr, PollFlags::OUT)];
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! `ryefront-gateway`: one real gateway.
+//! The gateway program, `ryefront-gateway`.
 
 #![forbid(unsafe_code)]
 
@@ -10,7 +10,7 @@
 use ryefront_gateway::log;
 use ryefront_gateway::reload::reload_on_sighup;
 use ryefront_gateway::signals::Signals;
-use ryefront_gateway::startup::{self, SocketBudget, StartupError};
+use ryefront_gateway::startup::{self, ConnectionLimits, StartupError};
 use ryefront_gateway::task::spawn;
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -31,7 +31,7 @@
 }
 
 fn start() -> Result<(), StartupError> {
-    // First of all: until then a signal ends the process.
+    // Before anything else, as a signal without a handler ends the process.
     let signals = startup::retry_local_errors(Signals::install).map_err(StartupError::Signals)?;
     let config = Config::load()?;
     let build_runtime = || tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -41,18 +41,18 @@
 
 async fn run(config: Config, signals: Rc<Signals>) -> Result<(), StartupError> {
     let listener = startup::listen(config.listen)?;
-    let forwarded = signals.clone();
-    spawn(async move { forwarded.forward().await });
+    let dispatcher = signals.clone();
+    spawn(async move { dispatcher.dispatch().await });
 
-    let sockets = SocketBudget::new(config.max_sockets);
+    let connection_limits = ConnectionLimits::new(config.max_descriptors);
     let endpoints = EndpointRegistry::new(EndpointSettings {
         connect_timeout: config.connect_timeout,
         endpoint_idle_timeout: config.endpoint_idle_timeout,
         load_report_source: config.settings.load_report_source,
-        max_connections: sockets.endpoints,
+        max_connections: connection_limits.endpoints,
     });
     let engine = Engine::start(config.settings.clone(), config.seed, endpoints.clone(), config.counter)?;
-    let server = Server::new(engine.clone(), &config.settings, sockets.clients);
+    let server = Server::new(engine.clone(), &config.settings, connection_limits.clients);
 
     let (discovery_address, address) = watch::channel(config.discovery);
     let watch = WatchSettings {
--- a/gateway/src/reload.rs
+++ b/gateway/src/reload.rs
@@ -1,7 +1,7 @@
-//! Reloads the configuration at each SIGHUP.
+//! Reloads the configuration on SIGHUP.
 //!
-//! The addresses of discovery and counter in it are used at once; the other values apply at the next start. A
-//! configuration that cannot be used changes nothing.
+//! New addresses of discovery and the counter take effect at once; other values apply at the next start. An
+//! invalid configuration changes nothing.
 
 use crate::config::Config;
 use crate::engine::Engine;
@@ -13,26 +13,26 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// How long the reload of a configuration that cannot be used is retried: the file may be incomplete at the
-/// signal, and no second signal follows. New addresses are expected to be in use 4 s after the signal.
-const RELOAD_TIMEOUT: Duration = Duration::from_secs(3);
-/// The pause between two retries.
-const RELOAD_PAUSE: Duration = Duration::from_millis(100);
+/// How long a failed reload is retried. The file may still be being written when the signal arrives, and no
+/// second signal follows. New addresses are expected to be in use within 4 s of the signal.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(3);
+/// The delay between two retries.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Reloads the configuration at each SIGHUP, for as long as the program runs.
+/// Reloads the configuration on each SIGHUP. Never returns.
 pub async fn reload_on_sighup(
     signals: Rc<Signals>, discovery: watch::Sender<SocketAddr>, engine: Rc<Engine>,
 ) {
     loop {
         signals.reload_requested().await;
-        if let Some(config) = read_config().await {
+        if let Some(config) = reload_config().await {
             apply(&config, &discovery, &engine);
         }
     }
 }
 
-/// Reads the configuration, with retries while it cannot be used. Logs the first error.
-async fn read_config() -> Option<Config> {
+/// Reads the configuration, with retries while it is invalid. Logs the first error.
+async fn reload_config() -> Option<Config> {
     let started = Instant::now();
     let mut error_logged = false;
     loop {
@@ -42,10 +42,10 @@
                 error_logged = true;
                 log::write(format_args!("configuration not read again, the previous one applies: {error}"));
             }
-            Err(_) if started.elapsed() >= RELOAD_TIMEOUT => return None,
+            Err(_) if started.elapsed() >= RETRY_TIMEOUT => return None,
             Err(_) => {}
         }
-        sleep(RELOAD_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
--- a/gateway/src/signals.rs
+++ b/gateway/src/signals.rs
@@ -1,7 +1,8 @@
-//! Signals to the process, passed on to the tasks that wait for them.
+//! Dispatches signals to the tasks that wait for them.
 //!
-//! Each signal sets a flag and writes a byte to a pipe. The flag carries the signal; the pipe only wakes the
-//! event loop. Should a call on the pipe fail, the flags are still checked at an interval.
+//! The handler of a signal sets a flag and writes a byte to a socket pair (the self-pipe trick). The flag
+//! records the signal; the byte only wakes the event loop. In case a call on the socket fails, the flags are
+//! also checked periodically.
 
 use crate::socket::is_transient;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -14,59 +15,60 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// The flags are checked this often even without a wake-up.
+/// The interval at which the flags are checked without a wake-up.
 const FLAG_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A flag that signal handlers set, and the task that waits for it.
+/// A flag that signal handlers set, and the notification of the task that waits for it.
 #[derive(Default)]
 struct SignalFlag {
     is_set: Arc<AtomicBool>,
-    waiter: Notify,
+    notification: Notify,
 }
 
 impl SignalFlag {
     /// Clears the flag, and notifies the waiting task if it was set.
-    fn forward(&self) {
+    fn dispatch(&self) {
         if self.is_set.swap(false, Ordering::SeqCst) {
-            self.waiter.notify_one();
+            self.notification.notify_one();
         }
     }
 }
 
-/// The signals that the process has received.
+/// The signals that the gateway handles: SIGTERM and SIGINT for termination, SIGHUP for a reload.
 pub struct Signals {
     termination: SignalFlag,
     reload: SignalFlag,
-    wake_ups: StdUnixStream,
+    /// The receiving end of the socket pair.
+    wake_receiver: StdUnixStream,
 }
 
 impl Signals {
-    /// Handles SIGTERM, SIGINT and SIGHUP from now on.
+    /// Installs the signal handlers.
     ///
     /// # Errors
-    /// When the system provides no pipe or rejects a handler.
+    /// If the socket pair cannot be created or a handler cannot be installed.
     pub fn install() -> io::Result<Self> {
         let termination = SignalFlag::default();
         let reload = SignalFlag::default();
-        let (wake_ups, waker) = StdUnixStream::pair()?;
-        wake_ups.set_nonblocking(true)?;
-        waker.set_nonblocking(true)?;
+        let (wake_receiver, wake_sender) = StdUnixStream::pair()?;
+        wake_receiver.set_nonblocking(true)?;
+        wake_sender.set_nonblocking(true)?;
         for (signal, flag) in [(SIGTERM, &termination), (SIGINT, &termination), (SIGHUP, &reload)] {
             signal_hook::flag::register(signal, flag.is_set.clone())?;
-            signal_hook::low_level::pipe::register(signal, waker.try_clone()?)?;
+            signal_hook::low_level::pipe::register(signal, wake_sender.try_clone()?)?;
         }
-        Ok(Self { termination, reload, wake_ups })
+        Ok(Self { termination, reload, wake_receiver })
     }
 
-    /// Passes signals on to the tasks that wait for them. Never returns.
-    pub async fn forward(&self) {
-        let pipe = self.wake_ups.try_clone().and_then(UnixStream::from_std);
+    /// Notifies the tasks that wait for signals. Never returns.
+    pub async fn dispatch(&self) {
+        let wake_receiver = self.wake_receiver.try_clone().and_then(UnixStream::from_std);
         loop {
-            self.termination.forward();
-            self.reload.forward();
+            self.termination.dispatch();
+            self.reload.dispatch();
             let woken = async {
-                match &pipe {
-                    Ok(pipe) => drain_pipe(pipe).await,
+                match &wake_receiver {
+                    Ok(stream) => receive_wake_ups(stream).await,
                     Err(_) => std::future::pending().await,
                 }
             };
@@ -74,26 +76,26 @@
         }
     }
 
-    /// Resolves once a signal requests the termination of the process.
+    /// Resolves when SIGTERM or SIGINT is received.
     pub async fn termination_requested(&self) {
-        self.termination.waiter.notified().await;
+        self.termination.notification.notified().await;
     }
 
-    /// Resolves once the configuration is to be reloaded. Several signals in a row may resolve it only
-    /// once, after the last of them.
+    /// Resolves when SIGHUP is received. Several signals in quick succession may resolve it only once, after
+    /// the last of them.
     pub async fn reload_requested(&self) {
-        self.reload.waiter.notified().await;
+        self.reload.notification.notified().await;
     }
 }
 
-/// Waits for wake-ups and discards those that have arrived.
-async fn drain_pipe(pipe: &UnixStream) {
-    if pipe.readable().await.is_err() {
+/// Waits for a wake-up and discards all that have arrived.
+async fn receive_wake_ups(stream: &UnixStream) {
+    if stream.readable().await.is_err() {
         return std::future::pending().await;
     }
     let mut bytes = [0; 64];
     loop {
-        match pipe.try_read(&mut bytes) {
+        match stream.try_read(&mut bytes) {
             Ok(1..) => {}
             Err(error) if is_transient(&error) => {}
             _ => return,
