--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -1,17 +1,19 @@
-//! Interposes system calls of a process under test (`LD_PRELOAD`) and makes them fail as Linux documents.
+//! Intercepts system calls of a process under test, into which it is loaded with `LD_PRELOAD`, and makes them
+//! fail as Linux documents.
 //!
-//! The environment variable `FAULTS` holds rules, separated by semicolons; without it nothing is changed:
+//! The environment variable `FAULTS` contains rules, separated by semicolons. Without it no call is changed.
 //!
 //! - `seed=N`: the seed of all random decisions.
-//! - `CALL=ERRNO/PER_MILLE`, optionally followed by `@FROM-TO`: calls fail with that error at this rate in a
-//!   thousand, if given only from `FROM` to `TO` ms after the first intercepted call. Calls: `recv`, `send`
-//!   (and `writev`), `accept` (that is, `accept4`), `socket` (IPv4 only), `connect`, `setsockopt`,
-//!   `epoll_ctl` (additions only), `epoll_wait`. Errors: those of `errno_of`.
-//! - `short=PER_MILLE`: reads and writes are limited to a few bytes at this rate in a thousand: `recv`,
+//! - `CALL=ERRNO/PER_MILLE`: calls fail with this error with a probability of `PER_MILLE` in a thousand.
+//!   With `@FROM-TO` appended, the rule applies only from `FROM` to `TO` ms after the first intercepted
+//!   call. Calls: `recv`, `send` (also applies to `writev`), `accept` (applies to `accept4`), `socket`
+//!   (IPv4 only), `connect`, `setsockopt`, `epoll_ctl` (additions only), `epoll_wait`. Errors: those of
+//!   `errno_of`.
+//! - `short=PER_MILLE`: reads and writes are limited to a few bytes with this probability. Applies to `recv`,
 //!   `send`, and the first buffer of `writev`.
-//! - `realtime=MS`: the wall clock is shifted by this much; the monotonic clock is not.
+//! - `realtime=MS`: the wall clock is shifted by this many milliseconds. The monotonic clock is not changed.
 //!
-//! A failed call has no effect. Calls on standard streams never fail. A rule that cannot be parsed causes a
+//! A call that is made to fail has no effect. Calls on standard streams never fail. An invalid rule causes a
 //! panic.
 
 use libc::{c_int, c_void, clockid_t, epoll_event, iovec, size_t, sockaddr, socklen_t, ssize_t, timespec};
@@ -21,16 +23,16 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// The most bytes of a short read or write.
+/// The maximum length of a short read or write.
 const MAX_SHORT_BYTES: u64 = 7;
 /// The increment of SplitMix64.
 const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 const NANOS_PER_SECOND: i128 = 1_000_000_000;
 const NANOS_PER_MILLI: i128 = 1_000_000;
-/// The period of a rule that names none: longer than any test.
+/// The period of a rule without one, in milliseconds: longer than any test.
 const ALWAYS: &str = "0-1000000000";
 
-/// How one call fails.
+/// A rule that makes calls fail.
 struct Rule {
     call: String,
     errno: c_int,
@@ -39,12 +41,12 @@
     to_ms: u128,
 }
 
-/// All rules of a process.
+/// All rules in `FAULTS`.
 struct Faults {
     rules: Vec<Rule>,
     short_per_mille: u64,
     realtime_shift_ms: i64,
-    /// The state of the generator, a SplitMix64.
+    /// The state of the random number generator, SplitMix64.
     random_state: AtomicU64,
     started_at: Instant,
 }
@@ -70,7 +72,7 @@
         faults
     }
 
-    /// The next random number below 1000.
+    /// Returns the next random number below 1000.
     fn random_per_mille(&self) -> u64 {
         let mut bits = self.random_state.fetch_add(GOLDEN_GAMMA, Ordering::Relaxed);
         bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -78,14 +80,14 @@
         (bits ^ (bits >> 31)) % 1000
     }
 
-    /// The error that this call fails with, if it fails.
+    /// Decides whether the next call of this name fails, and returns the error if so.
     fn next_error(&self, call: &str) -> Option<c_int> {
         let now_ms = self.started_at.elapsed().as_millis();
         let mut rules = self.rules.iter().filter(|rule| rule.applies(call, now_ms));
         rules.find(|rule| self.random_per_mille() < rule.per_mille).map(|rule| rule.errno)
     }
 
-    /// The length of a read or write that may be short.
+    /// Decides whether a read or write is short, and returns its maximum length.
     fn limit_length(&self, requested: size_t) -> size_t {
         if self.random_per_mille() < self.short_per_mille {
             requested.min((1 + self.random_per_mille() % MAX_SHORT_BYTES) as size_t)
@@ -147,7 +149,7 @@
     true
 }
 
-/// The address of the next definition of a symbol, after the one of this library.
+/// Returns the address of a symbol in the libraries loaded after this one.
 fn next_symbol(name: &CStr) -> usize {
     // SAFETY: the name ends with a nul.
     let address = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
@@ -155,32 +157,33 @@
     address as usize
 }
 
-/// Calls the C library's function of a name and type.
-macro_rules! real {
-    ($name:literal as $kind:ty, $($argument:expr),*) => {{
-        static REAL: OnceLock<usize> = OnceLock::new();
+/// Calls the intercepted function with this name and type in the C library.
+macro_rules! call_original {
+    ($name:literal as $function_type:ty, $($argument:expr),*) => {{
+        static ORIGINAL: OnceLock<usize> = OnceLock::new();
+        let address = *ORIGINAL.get_or_init(|| next_symbol($name));
         // SAFETY: the symbol of this name has this type, and the arguments are those of the caller.
-        unsafe { transmute::<usize, $kind>(*REAL.get_or_init(|| next_symbol($name)))($($argument),*) }
+        unsafe { transmute::<usize, $function_type>(address)($($argument),*) }
     }};
 }
 
-type Receive = unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t;
-type Transmit = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
-type WriteVectored = unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t;
-type Socket = unsafe extern "C" fn(c_int, c_int, c_int) -> c_int;
-type Accept = unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int;
-type Connect = unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int;
-type SetOption = unsafe extern "C" fn(c_int, c_int, c_int, *const c_void, socklen_t) -> c_int;
-type EpollControl = unsafe extern "C" fn(c_int, c_int, c_int, *mut epoll_event) -> c_int;
-type EpollWait = unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int;
-type GetTime = unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int;
+type RecvFn = unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t;
+type SendFn = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
+type WritevFn = unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t;
+type SocketFn = unsafe extern "C" fn(c_int, c_int, c_int) -> c_int;
+type Accept4Fn = unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int;
+type ConnectFn = unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int;
+type SetsockoptFn = unsafe extern "C" fn(c_int, c_int, c_int, *const c_void, socklen_t) -> c_int;
+type EpollCtlFn = unsafe extern "C" fn(c_int, c_int, c_int, *mut epoll_event) -> c_int;
+type EpollWaitFn = unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int;
+type ClockGettimeFn = unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int;
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn recv(fd: c_int, bytes: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
     if inject_error("recv", fd) {
         return -1;
     }
-    real!(c"recv" as Receive, fd, bytes, faults().limit_length(length), flags)
+    call_original!(c"recv" as RecvFn, fd, bytes, faults().limit_length(length), flags)
 }
 
 #[unsafe(no_mangle)]
@@ -188,7 +191,7 @@
     if inject_error("send", fd) {
         return -1;
     }
-    real!(c"send" as Transmit, fd, bytes, faults().limit_length(length), flags)
+    call_original!(c"send" as SendFn, fd, bytes, faults().limit_length(length), flags)
 }
 
 #[unsafe(no_mangle)]
@@ -201,19 +204,19 @@
         let first = unsafe { *parts };
         let length = faults().limit_length(first.iov_len);
         if length < first.iov_len {
-            return real!(c"send" as Transmit, fd, first.iov_base, length, libc::MSG_NOSIGNAL);
+            return call_original!(c"send" as SendFn, fd, first.iov_base, length, libc::MSG_NOSIGNAL);
         }
     }
-    real!(c"writev" as WriteVectored, fd, parts, count)
+    call_original!(c"writev" as WritevFn, fd, parts, count)
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    // The call has no descriptor yet, so one that is not a standard stream is passed as a placeholder.
+    // There is no descriptor yet, so a placeholder that is not a standard stream is passed.
     if domain == libc::AF_INET && inject_error("socket", c_int::MAX) {
         return -1;
     }
-    real!(c"socket" as Socket, domain, kind, protocol)
+    call_original!(c"socket" as SocketFn, domain, kind, protocol)
 }
 
 #[unsafe(no_mangle)]
@@ -221,7 +224,7 @@
     if inject_error("accept", fd) {
         return -1;
     }
-    real!(c"accept4" as Accept, fd, from, length, flags)
+    call_original!(c"accept4" as Accept4Fn, fd, from, length, flags)
 }
 
 #[unsafe(no_mangle)]
@@ -229,7 +232,7 @@
     if inject_error("connect", fd) {
         return -1;
     }
-    real!(c"connect" as Connect, fd, to, length)
+    call_original!(c"connect" as ConnectFn, fd, to, length)
 }
 
 #[unsafe(no_mangle)]
@@ -239,7 +242,7 @@
     if inject_error("setsockopt", fd) {
         return -1;
     }
-    real!(c"setsockopt" as SetOption, fd, level, name, value, length)
+    call_original!(c"setsockopt" as SetsockoptFn, fd, level, name, value, length)
 }
 
 #[unsafe(no_mangle)]
@@ -247,7 +250,7 @@
     if operation == libc::EPOLL_CTL_ADD && inject_error("epoll_ctl", fd) {
         return -1;
     }
-    real!(c"epoll_ctl" as EpollControl, epoll, operation, fd, event)
+    call_original!(c"epoll_ctl" as EpollCtlFn, epoll, operation, fd, event)
 }
 
 #[unsafe(no_mangle)]
@@ -257,12 +260,12 @@
     if inject_error("epoll_wait", epoll) {
         return -1;
     }
-    real!(c"epoll_wait" as EpollWait, epoll, events, max_events, timeout)
+    call_original!(c"epoll_wait" as EpollWaitFn, epoll, events, max_events, timeout)
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    let result = real!(c"clock_gettime" as GetTime, clock, time);
+    let result = call_original!(c"clock_gettime" as ClockGettimeFn, clock, time);
     if clock == libc::CLOCK_REALTIME && result == 0 {
         // SAFETY: the call succeeded, so the pointer is valid and its target initialized.
         let time = unsafe { &mut *time };
