--- a/settings/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn clients_that_get_no_retry_after_follow_none() {
+fn max_retry_after_is_zero_where_the_header_may_not_be_sent() {
     let mut settings = settings();
     settings["permissions"]["retry-after"] = json!(false);
 
