--- a/gateway/src/startup.rs
+++ b/gateway/src/startup.rs
@@ -68,7 +68,7 @@
 /// Listens for clients. Retries as [`retry_local_errors`] does.
 ///
 /// # Errors
-/// If the address is invalid or in use, or the last retry failed.
+/// If the gateway cannot listen at the address, or still cannot after the retries.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, StartupError> {
     retry_local_errors(|| bind(address)).map_err(|source| StartupError::Listen { address, source })
 }
