--- a/gateway/src/client/handler.rs
+++ b/gateway/src/client/handler.rs
@@ -1,4 +1,5 @@
-//! Answers the requests of all client connections: readiness, or one final answer for each valid request.
+//! Handles the requests of all client connections: readiness checks, and valid requests, each of which gets
+//! one final response.
 
 use crate::client::connection_state::ConnectionState;
 use crate::client::connection_table::ConnectionTable;
@@ -15,7 +16,7 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// Answers requests.
+/// Handles the requests of all client connections.
 pub(super) struct RequestHandler {
     parser: RequestParser,
     responder: Responder,
@@ -85,7 +86,7 @@
                 }
             };
         connection.record_request();
-        match self.answer_while_connected(request, connection).await {
+        match self.respond_while_connected(request, connection).await {
             Some(response) => HandledRequest { response, persistence: Persistence::KeepAlive },
             None => {
                 let response = response::client_disconnected();
@@ -107,8 +108,8 @@
         Ok(ReceivedRequest { request, id_in_progress })
     }
 
-    /// Reserves an id until its request has its final answer: a second request with the same id could get the
-    /// answer of the first.
+    /// Reserves an id until its request has its final response: a second request with the same id could get the
+    /// response to the first.
     fn reserve_id(&self, id: HeaderValue) -> Result<IdInProgress<'_>, RequestError> {
         if self.ids_in_progress.borrow_mut().insert(id.clone()) {
             Ok(IdInProgress { ids: &self.ids_in_progress, id })
@@ -117,25 +118,25 @@
         }
     }
 
-    /// Returns the final answer, or `None` once the client has disconnected.
+    /// Returns the final response, or `None` once the client has disconnected.
     ///
     /// The HTTP library does not notice a disconnect behind bytes that the client sent after its request, so
     /// the socket is watched. It is also checked before the request is submitted: clients that send many
     /// requests and disconnect at once would delay others until each disconnect is noticed.
-    async fn answer_while_connected(
+    async fn respond_while_connected(
         &self, request: ParsedRequest, connection: &ConnectionState,
     ) -> Option<HttpResponse> {
         let socket = connection.socket();
-        let final_answer = async {
+        let final_response = async {
             if socket.is_closed_by_peer().await {
                 return None;
             }
-            Some(self.responder.answer(request, socket.clone()).await)
+            Some(self.responder.respond(request, socket.clone()).await)
         };
         tokio::select! {
             biased;
             () = socket.closed_by_peer() => None,
-            response = final_answer => response,
+            response = final_response => response,
         }
     }
 }
--- a/gateway/src/client/mod.rs
+++ b/gateway/src/client/mod.rs
@@ -1,10 +1,10 @@
-//! The client side: accepts connections, validates requests, writes the final answers, and shuts down
+//! The client side: accepts connections, validates requests, writes the final responses, and shuts down
 //! gracefully.
 //!
 //! In reading order: `server` combines the parts; `listener` accepts connections, and `connection_table`
 //! limits their number and evicts idle ones; `connection` serves one of them, with `connection_state` and
-//! `request_head` for its state; `handler` answers one request, which `request` parses and validates and for
-//! which `response` gets the final answer; `shutdown` ends all of it step by step.
+//! `request_head` for its state; `handler` handles one request, which `request` parses and validates and for
+//! which `response` gets the final response; `shutdown` ends all of it step by step.
 
 mod connection;
 mod connection_state;
--- a/gateway/src/client/request.rs
+++ b/gateway/src/client/request.rs
@@ -52,7 +52,7 @@
     /// A header is given several times: endpoints or proxies may use another of its values.
     #[error("{0} is given more than once, expected one value")]
     RepeatedHeader(&'static str),
-    /// Another request with this id has no final answer yet.
+    /// Another request with this id has no final response yet.
     #[error("a request with this {REQUEST_ID} is in progress, expected another id")]
     IdInProgress,
     /// The end of the body is not certain.
--- a/gateway/src/client/response.rs
+++ b/gateway/src/client/response.rs
@@ -1,9 +1,9 @@
-//! The responses to clients: submits requests to the engine and turns their final answers into responses.
+//! The responses to clients: submits requests to the engine and turns their final responses into responses.
 
 use crate::client::request::{ParsedRequest, RequestError};
 use crate::client::shutdown::Shutdown;
 use crate::clock::millis;
-use crate::engine::{Engine, FinalAnswer, SubmittedRequest};
+use crate::engine::{Engine, FinalResponse, SubmittedRequest};
 use crate::socket::SharedStream;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -21,16 +21,16 @@
 const DEADLINE_MARGIN: Duration = Duration::from_millis(25);
 /// The margin is at most this fraction of the time to the client's deadline.
 const DEADLINE_MARGIN_FRACTION: f64 = 0.25;
-/// A request without a final answer this long after the policy's deadline gets one without the policy.
-const FINAL_ANSWER_BACKSTOP: Duration = Duration::from_millis(10);
+/// A request without a final response this long after the policy's deadline gets one without the policy.
+const FINAL_RESPONSE_BACKSTOP: Duration = Duration::from_millis(10);
 
 /// The deadlines of one request.
 struct Deadlines {
-    /// The time that the policy has for the final answer.
+    /// The time that the policy has for the final response.
     time_for_policy: Duration,
     /// When the policy's time is over.
     policy_deadline: Instant,
-    /// When the final answer is given without the policy.
+    /// When the final response is given without the policy.
     backstop: Instant,
 }
 
@@ -39,12 +39,12 @@
         let margin = DEADLINE_MARGIN.min(time_to_deadline.mul_f64(DEADLINE_MARGIN_FRACTION));
         let time_for_policy = time_to_deadline - margin;
         let policy_deadline = Instant::now() + time_for_policy;
-        let backstop = policy_deadline + FINAL_ANSWER_BACKSTOP.min(margin / 2);
+        let backstop = policy_deadline + FINAL_RESPONSE_BACKSTOP.min(margin / 2);
         Self { time_for_policy, policy_deadline, backstop }
     }
 }
 
-/// Submits requests to the engine and returns their final answers.
+/// Submits requests to the engine and returns their final responses.
 pub(super) struct Responder {
     engine: Rc<Engine>,
     shutdown: Rc<Shutdown>,
@@ -55,19 +55,19 @@
         Self { engine, shutdown }
     }
 
-    /// Submits a request and returns its final answer, by its deadline even if the engine has none.
-    pub(super) async fn answer(&self, request: ParsedRequest, client: SharedStream) -> HttpResponse {
+    /// Submits a request and returns its final response, by its deadline even if the engine has none.
+    pub(super) async fn respond(&self, request: ParsedRequest, client: SharedStream) -> HttpResponse {
         let deadlines = Deadlines::new(request.time_to_deadline);
-        let SubmittedRequest { id, final_answer } = self.submit(request, client, &deadlines);
+        let SubmittedRequest { id, final_response } = self.submit(request, client, &deadlines);
         let guard = DisconnectOnDrop { engine: &self.engine, id };
-        let answer = tokio::select! {
+        let response = tokio::select! {
             biased;
-            answer = timeout_at(deadlines.backstop, final_answer) => answer.ok(),
-            () = self.shutdown.final_answers_due() => None,
+            response = timeout_at(deadlines.backstop, final_response) => response.ok(),
+            () = self.shutdown.final_responses_due() => None,
         };
         drop(guard);
-        match answer {
-            Some(Ok(answer)) => response_to(answer),
+        match response {
+            Some(Ok(response)) => http_response(response),
             Some(Err(_)) => failed(),
             None => timed_out(),
         }
@@ -93,7 +93,7 @@
     }
 }
 
-/// Reports to the engine that the client has disconnected, if it is dropped before the final answer. After it
+/// Reports to the engine that the client has disconnected, if it is dropped before the final response. After it
 /// the engine has no such request and does nothing.
 struct DisconnectOnDrop<'a> {
     engine: &'a Engine,
@@ -106,16 +106,16 @@
     }
 }
 
-fn response_to(answer: FinalAnswer) -> HttpResponse {
-    match answer {
-        FinalAnswer::Served(served) => {
+fn http_response(final_response: FinalResponse) -> HttpResponse {
+    match final_response {
+        FinalResponse::Served(served) => {
             let mut response = Response::new(Full::new(served.body));
             *response.headers_mut() = served.headers;
             response
         }
-        FinalAnswer::Rejected { retry_after } => rejected(retry_after),
-        FinalAnswer::Failed => failed(),
-        FinalAnswer::TimedOut => timed_out(),
+        FinalResponse::Rejected { retry_after } => rejected(retry_after),
+        FinalResponse::Failed => failed(),
+        FinalResponse::TimedOut => timed_out(),
     }
 }
 
--- a/gateway/src/client/shutdown.rs
+++ b/gateway/src/client/shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown, step by step: see [`ShutdownPhase`].
 //!
 //! The process may be killed 3.7 s after SIGTERM. Until then every request that was accepted gets its final
-//! answer, and clients stop using their connections.
+//! response, and clients stop using their connections.
 
 use crate::client::connection_table::ConnectionTable;
 use crate::client::listener::ClientListener;
@@ -17,10 +17,10 @@
 const LEASE_RETURN_TIME: Duration = Duration::from_millis(200);
 /// An accept queue that cannot be read is abandoned after this.
 const ACCEPT_QUEUE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Requests without a response get a final answer this long after SIGTERM: just before the process may be
+/// Requests without a response get a final response this long after SIGTERM: just before the process may be
 /// killed.
-const FINAL_ANSWERS_AFTER: Duration = Duration::from_millis(3500);
-/// Connections are abandoned this long after the last final answer, as clients may stop reading or sending
+const FINAL_RESPONSES_AFTER: Duration = Duration::from_millis(3500);
+/// Connections are abandoned this long after the last final response, as clients may stop reading or sending
 /// half-way.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often the end of the last requests is checked while connections close.
@@ -87,13 +87,16 @@
 /// The shutdown of the client side.
 pub(super) struct Shutdown {
     phase: watch::Sender<ShutdownPhase>,
-    /// From SIGTERM on: when requests without a response get a final answer.
-    final_answers_at: watch::Sender<Option<Instant>>,
+    /// From SIGTERM on: when requests without a response get a final response.
+    final_responses_at: watch::Sender<Option<Instant>>,
 }
 
 impl Shutdown {
     pub(super) fn new() -> Self {
-        Self { phase: watch::Sender::new(ShutdownPhase::Serving), final_answers_at: watch::Sender::new(None) }
+        Self {
+            phase: watch::Sender::new(ShutdownPhase::Serving),
+            final_responses_at: watch::Sender::new(None),
+        }
     }
 
     /// Whether the shutdown has begun.
@@ -108,10 +111,10 @@
         CloseSignal { phase, round_at_open }
     }
 
-    /// Resolves when requests without a response get a final answer, as the process may be killed.
-    pub(super) async fn final_answers_due(&self) {
-        let mut final_answers_at = self.final_answers_at.subscribe();
-        let at = final_answers_at.wait_for(Option::is_some).await.map(|at| *at);
+    /// Resolves when requests without a response get a final response, as the process may be killed.
+    pub(super) async fn final_responses_due(&self) {
+        let mut final_responses_at = self.final_responses_at.subscribe();
+        let at = final_responses_at.wait_for(Option::is_some).await.map(|at| *at);
         match at {
             Ok(Some(at)) => sleep_until(at).await,
             _ => std::future::pending().await,
@@ -121,7 +124,7 @@
     /// The phases in which new connections are accepted: fails readiness, waits for late connections, closes
     /// idle connections, and returns the leases. Runs beside the listener.
     pub(super) async fn drain_while_accepting(&self, engine: &Engine) {
-        self.final_answers_at.send_replace(Some(Instant::now() + FINAL_ANSWERS_AFTER));
+        self.final_responses_at.send_replace(Some(Instant::now() + FINAL_RESPONSES_AFTER));
         self.enter(ShutdownPhase::NotReady);
         sleep(LATE_ARRIVAL_PERIOD / 2).await;
 
@@ -139,7 +142,7 @@
     }
 
     /// Closes all connections once they are idle. Returns when they are closed, or some time after the last
-    /// final answer.
+    /// final response.
     pub(super) async fn close_all_connections(&self, engine: &Engine, connections: &ConnectionTable) {
         self.enter(ShutdownPhase::ClosingAllConnections);
         let mut idle_since = Instant::now();
--- a/gateway/src/engine.rs
+++ b/gateway/src/engine.rs
@@ -24,7 +24,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-pub(crate) use crate::request_table::{FinalAnswer, SubmittedRequest};
+pub(crate) use crate::request_table::{FinalResponse, SubmittedRequest};
 
 /// The timeout of a counter call, as a multiple of the counter timeout in the settings. A counter that is
 /// merely slow still adds the amount, and the units of a lease block are lost if its call times out. No
@@ -149,7 +149,9 @@
             Action::ForwardAttempt { id, endpoint, timeout, write_timeout } => {
                 self.forward_attempt(id, endpoint, AttemptTimeouts { total: timeout, write: write_timeout });
             }
-            Action::Reject { id, retry_after } => self.finish(id, |_| FinalAnswer::Rejected { retry_after }),
+            Action::Reject { id, retry_after } => {
+                self.finish(id, |_| FinalResponse::Rejected { retry_after })
+            }
             Action::Fail { id } => self.finish(id, RequestInProgress::failure),
             Action::CancelAttempt { id, attempt } => self.requests.borrow_mut().cancel_attempt(id, attempt),
             Action::SetTimer { after, token } => self.set_timer(after, token),
@@ -162,10 +164,10 @@
     }
 
     /// Ends a request with its final response, unless it has had one.
-    fn finish(&self, id: RequestId, answer: impl FnOnce(&RequestInProgress) -> FinalAnswer) {
+    fn finish(&self, id: RequestId, response: impl FnOnce(&RequestInProgress) -> FinalResponse) {
         let Some(request) = self.requests.borrow_mut().remove(id) else { return };
-        let answer = answer(&request);
-        request.finish(answer);
+        let response = response(&request);
+        request.finish(response);
     }
 
     fn forward_attempt(&self, id: RequestId, endpoint: Name, timeouts: AttemptTimeouts) {
@@ -210,7 +212,7 @@
         let AttemptResult { outcome, response, load_report } = result;
         self.requests.borrow_mut().remove_attempt(id);
         if let Some(response) = response {
-            self.finish(id, |_| FinalAnswer::Served(response));
+            self.finish(id, |_| FinalResponse::Served(response));
         }
         self.requests.borrow_mut().record_outcome(id, outcome);
         let request_finished = !self.requests.borrow().contains(id);
--- a/gateway/src/request_table.rs
+++ b/gateway/src/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests without a final answer, and their attempts that have not ended.
+//! The requests without a final response, and their attempts that have not ended.
 
 use crate::clock::duration;
 use crate::endpoint::{AttemptLimits, EndpointResponse, ForwardedRequest};
@@ -8,9 +8,9 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The final answer to a request.
+/// The final response to a request.
 #[derive(Debug)]
-pub(crate) enum FinalAnswer {
+pub(crate) enum FinalResponse {
     /// An endpoint served the request.
     Served(EndpointResponse),
     /// The request was rejected; a retry is harmless.
@@ -24,26 +24,26 @@
     TimedOut,
 }
 
-/// A request without a final answer.
+/// A request without a final response.
 pub(crate) struct RequestInProgress {
     request: ForwardedRequest,
     client: SharedStream,
     deadline: Instant,
-    answer: oneshot::Sender<FinalAnswer>,
+    final_response: oneshot::Sender<FinalResponse>,
     attempts_started: u32,
     last_attempt_timed_out: bool,
 }
 
 impl RequestInProgress {
-    /// The final answer if there are no further attempts.
-    pub(crate) fn failure(&self) -> FinalAnswer {
-        if self.last_attempt_timed_out { FinalAnswer::TimedOut } else { FinalAnswer::Failed }
+    /// The final response if there are no further attempts.
+    pub(crate) fn failure(&self) -> FinalResponse {
+        if self.last_attempt_timed_out { FinalResponse::TimedOut } else { FinalResponse::Failed }
     }
 
-    /// Passes the final answer on to the client.
-    pub(crate) fn finish(self, answer: FinalAnswer) {
+    /// Passes the final response on to the client.
+    pub(crate) fn finish(self, response: FinalResponse) {
         // Fails if nobody waits any more, as the client has had a response at its deadline.
-        let _ = self.answer.send(answer);
+        let _ = self.final_response.send(response);
     }
 }
 
@@ -51,8 +51,8 @@
 pub(crate) struct SubmittedRequest {
     /// The id by which the policy refers to it.
     pub(crate) id: RequestId,
-    /// Receives the final answer, unless the request is removed before.
-    pub(crate) final_answer: oneshot::Receiver<FinalAnswer>,
+    /// Receives the final response, unless the request is removed before.
+    pub(crate) final_response: oneshot::Receiver<FinalResponse>,
 }
 
 /// An attempt that has not ended.
@@ -110,18 +110,18 @@
     pub(crate) fn insert(
         &mut self, request: ForwardedRequest, client: SharedStream, deadline: Instant,
     ) -> SubmittedRequest {
-        let (answer, final_answer) = oneshot::channel();
+        let (sender, final_response) = oneshot::channel();
         self.last_id += 1;
         let in_progress = RequestInProgress {
             request,
             client,
             deadline,
-            answer,
+            final_response: sender,
             attempts_started: 0,
             last_attempt_timed_out: false,
         };
         self.requests.insert(self.last_id, in_progress);
-        SubmittedRequest { id: self.last_id, final_answer }
+        SubmittedRequest { id: self.last_id, final_response }
     }
 
     /// The number of requests in progress.
@@ -134,7 +134,7 @@
         self.requests.contains_key(&id)
     }
 
-    /// Removes a request that is in progress. Whoever removes it gives its final answer: there is no other.
+    /// Removes a request that is in progress. Whoever removes it gives its final response: there is no other.
     pub(crate) fn remove(&mut self, id: RequestId) -> Option<RequestInProgress> {
         self.requests.remove(&id)
     }
