--- a/gateway/src/client/connection.rs
+++ b/gateway/src/client/connection.rs
@@ -107,7 +107,7 @@
     tokio::select! {
         biased;
         _ = http => false,
-        () = state.socket().read_before_timeout() => true,
+        () = state.socket().wait_for_pending_read() => true,
     }
 }
 
--- a/gateway/src/client/connection_state.rs
+++ b/gateway/src/client/connection_state.rs
@@ -69,7 +69,7 @@
     pub(super) async fn request_timed_out(&self) {
         loop {
             self.request_deadline_passed().await;
-            self.socket.read_before_timeout().await;
+            self.socket.wait_for_pending_read().await;
             if Instant::now() >= self.request_deadline() {
                 return;
             }
--- a/gateway/src/counter/session.rs
+++ b/gateway/src/counter/session.rs
@@ -3,7 +3,7 @@
 
 use crate::counter::call_queue::CallQueue;
 use crate::counter::resp::{Reply, ReplyBuffer, ReplyError};
-use crate::socket::{is_transient, read_before_timeout};
+use crate::socket::{is_transient, wait_for_pending_read};
 use redis_protocol::resp2::types::OwnedFrame;
 use ryefront_policy::CounterResult;
 use std::io;
@@ -69,7 +69,7 @@
         while !self.calls.has_drained() {
             self.wait_for_work().await?;
             if Instant::now() >= self.next_deadline() {
-                read_before_timeout(self.stream).await;
+                wait_for_pending_read(self.stream).await;
             }
             self.calls.write_to(self.stream)?;
             // Replies are read before timeouts are checked, so that a reply that has arrived counts as in
--- a/gateway/src/discovery/watch.rs
+++ b/gateway/src/discovery/watch.rs
@@ -205,7 +205,7 @@
     let socket = connection.socket();
     let no_response = async {
         sleep(backoff.poll_timeout(wait)).await;
-        socket.read_before_timeout().await;
+        socket.wait_for_pending_read().await;
     };
     let exchanged = tokio::select! {
         biased;
--- a/gateway/src/endpoint/connections.rs
+++ b/gateway/src/endpoint/connections.rs
@@ -118,7 +118,7 @@
 
     /// Closes all idle connections to an endpoint.
     pub(super) fn close_idle(&self, endpoint: &Name) {
-        self.pool.borrow_mut().clear(endpoint);
+        self.pool.borrow_mut().remove_endpoint(endpoint);
     }
 
     /// Closes connections that have been idle for too long or that their endpoint has closed.
--- a/gateway/src/endpoint/exchange.rs
+++ b/gateway/src/endpoint/exchange.rs
@@ -86,7 +86,7 @@
 /// Classifies the end of an exchange for the estimate of stale connections.
 fn exchange_result<T>(result: &Result<T, ExchangeError>) -> ExchangeResult {
     match result {
-        Err(ExchangeError::Sent | ExchangeError::PartlySent) => ExchangeResult::ConnectionBroke,
+        Err(ExchangeError::NoResponse | ExchangeError::PartiallySent) => ExchangeResult::ConnectionBroke,
         Ok(_) | Err(ExchangeError::NotSent | ExchangeError::InvalidResponse) => ExchangeResult::Other,
     }
 }
@@ -94,8 +94,8 @@
 /// What a failed exchange means for the attempt.
 fn outcome_of(error: ExchangeError) -> Outcome {
     match error {
-        ExchangeError::NotSent | ExchangeError::PartlySent => Outcome::ConnectFailed,
-        ExchangeError::Sent => Outcome::ConnectionReset,
+        ExchangeError::NotSent | ExchangeError::PartiallySent => Outcome::ConnectFailed,
+        ExchangeError::NoResponse => Outcome::ConnectionReset,
         // The endpoint is alive and may have run the request. It counts as an error response, so that a fault
         // common to all endpoints does not eject all of them.
         ExchangeError::InvalidResponse => Outcome::Error,
--- a/gateway/src/endpoint/pool.rs
+++ b/gateway/src/endpoint/pool.rs
@@ -55,7 +55,7 @@
     }
 
     /// Drops all connections to an endpoint.
-    pub fn clear(&mut self, endpoint: &Name) {
+    pub fn remove_endpoint(&mut self, endpoint: &Name) {
         self.count -= self.by_endpoint.remove(endpoint).map_or(0, |connections| connections.len());
     }
 
--- a/gateway/src/http_connection/connection.rs
+++ b/gateway/src/http_connection/connection.rs
@@ -104,7 +104,7 @@
 /// Resolves once a response is overdue although what had arrived of it has been read.
 async fn response_overdue(state: &ExchangeState, socket: &SharedStream, timeout: Duration) {
     state.response_overdue(timeout).await;
-    socket.read_before_timeout().await;
+    socket.wait_for_pending_read().await;
     state.response_overdue(timeout).await;
 }
 
--- a/gateway/src/http_connection/error.rs
+++ b/gateway/src/http_connection/error.rs
@@ -10,10 +10,10 @@
     NotSent,
     /// At least a byte of the request was written, but not its last.
     #[error("the connection ended while the request was written")]
-    PartlySent,
+    PartiallySent,
     /// The request was written completely and no response began.
     #[error("the connection ended before the response")]
-    Sent,
+    NoResponse,
     /// A response began, but none that can be used.
     #[error("the response is malformed, too large or incomplete")]
     InvalidResponse,
--- a/gateway/src/http_connection/exchange_state.rs
+++ b/gateway/src/http_connection/exchange_state.rs
@@ -60,8 +60,8 @@
         }
         match self.write_progress.get() {
             WriteProgress::NotStarted => ExchangeError::NotSent,
-            WriteProgress::Partial => ExchangeError::PartlySent,
-            WriteProgress::Complete => ExchangeError::Sent,
+            WriteProgress::Partial => ExchangeError::PartiallySent,
+            WriteProgress::Complete => ExchangeError::NoResponse,
         }
     }
 
--- a/gateway/src/socket.rs
+++ b/gateway/src/socket.rs
@@ -138,8 +138,8 @@
     }
 
     /// Lets other tasks read what has arrived on the socket and was not read yet, before a timeout takes effect.
-    pub async fn read_before_timeout(&self) {
-        read_before_timeout(&self.stream).await;
+    pub async fn wait_for_pending_read(&self) {
+        wait_for_pending_read(&self.stream).await;
     }
 }
 
@@ -158,7 +158,7 @@
 ///
 /// A wait of the event loop that a signal interrupts reports no readiness, but timers are handled after it.
 /// After a pause of the process all of them are due, however long the bytes have been there.
-pub(crate) async fn read_before_timeout(stream: &TcpStream) {
+pub(crate) async fn wait_for_pending_read(stream: &TcpStream) {
     if matches!(peek(stream), Ok(1..)) {
         let _ = timeout(UNREAD_GRACE, stream.readable()).await;
         yield_now().await;
--- a/gateway/tests/connection_pool.rs
+++ b/gateway/tests/connection_pool.rs
@@ -47,8 +47,8 @@
 
     pool.retain(|idle| start - idle.idle_since < Duration::from_millis(25));
     assert_eq!((pool.len(), Rc::strong_count(&connection)), (2, 3));
-    pool.clear(&a);
-    pool.clear(&a);
+    pool.remove_endpoint(&a);
+    pool.remove_endpoint(&a);
     assert_eq!((pool.len(), Rc::strong_count(&connection)), (1, 2));
     pool.evict();
     assert_eq!((pool.len(), Rc::strong_count(&connection)), (0, 1));
--- a/gateway/tests/retry.rs
+++ b/gateway/tests/retry.rs
@@ -142,8 +142,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     // The peer closes after it has read a few bytes, so the large request is not written completely.
-    let large = (LARGE_BODY_BYTES, 10, ExchangeError::PartlySent);
-    let small = (10, 40, ExchangeError::Sent);
+    let large = (LARGE_BODY_BYTES, 10, ExchangeError::PartiallySent);
+    let small = (10, 40, ExchangeError::NoResponse);
     for (body_bytes, read_bytes, expected) in [large, small] {
         let mut connection = Connection::connect(address, TIMEOUT).await.expect("a connection");
         let (mut peer, _) = listener.accept().await.expect("a connection");
@@ -176,7 +176,7 @@
     let mut bytes = Vec::new();
     let _ = within_timeout("the end of the connection", peer.read_to_end(&mut bytes)).await;
 
-    assert_eq!(result.expect_err("an exceeded write deadline"), ExchangeError::PartlySent);
+    assert_eq!(result.expect_err("an exceeded write deadline"), ExchangeError::PartiallySent);
     assert!(ended_at >= write_deadline);
     assert!(bytes.len() < LARGE_BODY_BYTES);
 }
