--- a/gateway/src/client/connection_state.rs
+++ b/gateway/src/client/connection_state.rs
@@ -123,7 +123,7 @@
 }
 
 impl StreamObserver for ConnectionState {
-    fn record_read(&self, bytes: &[u8]) {
+    fn on_read(&self, bytes: &[u8]) {
         let mut head = self.head.borrow_mut();
         if !self.is_idle() || bytes.is_empty() || head.is_complete() {
             return;
--- a/gateway/src/client/server.rs
+++ b/gateway/src/client/server.rs
@@ -7,7 +7,7 @@
 use crate::client::listener::ClientListener;
 use crate::client::shutdown::Shutdown;
 use crate::engine::Engine;
-use crate::socket::{SharedStream, disable_write_delay};
+use crate::socket::{SharedStream, disable_nagle};
 use crate::task::spawn;
 use ryefront_policy::Settings;
 use std::pin::pin;
@@ -50,7 +50,7 @@
     }
 
     fn serve_connection(self: &Rc<Self>, stream: TcpStream) {
-        disable_write_delay(&stream);
+        disable_nagle(&stream);
         let state = Rc::new(ConnectionState::new(SharedStream::new(stream)));
         self.connections.add(state.clone());
         let close_signal = self.shutdown.close_signal();
--- a/gateway/src/headers.rs
+++ b/gateway/src/headers.rs
@@ -1,14 +1,14 @@
-//! The names that the gateway's HTTP protocols give to headers, their tokens, and paths.
+//! The headers, header tokens and paths of the gateway's HTTP interfaces.
 //!
-//! Header names are in lower case, as the HTTP library compares them.
+//! Header names are in lower case, the form in which the HTTP library compares them.
 
-/// The number of a request, unique among those in progress.
+/// The ID of a request, unique among the requests in progress.
 pub(crate) const REQUEST_ID: &str = "req-id";
-/// How long the sender waits for the response, in whole milliseconds.
+/// How long the sender will wait for the response, in whole milliseconds.
 pub(crate) const DEADLINE_MS: &str = "req-deadline-ms";
-/// `1` on a client's retry.
+/// `1` if the request is a client's retry, `0` or absent otherwise.
 pub(crate) const CLIENT_RETRY: &str = "req-retry";
-/// The key by which endpoints recognize a repeated request.
+/// The key by which endpoints deduplicate requests.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// The tenant's quota plan.
 pub(crate) const PLAN: &str = "api-plan";
@@ -23,21 +23,21 @@
 /// The index of the first gateway that serves the tenant, in [`TERMS`].
 pub(crate) const TERMS_FIRST_GATEWAY: &str = "first";
 
-/// `1` on the response of an endpoint that rejects a request it has not run.
+/// `1` in an endpoint's response to a request that it rejected without running it.
 pub(crate) const REJECTED: &str = "srv-declined";
 /// An endpoint's load report.
 pub(crate) const LOAD_REPORT: &str = "srv-load";
-/// The prefix of the values of a load report.
+/// The token before the values of a load report.
 pub(crate) const LOAD_REPORT_PREFIX: &str = "TEXT";
 
-/// The gateway's readiness, for clients.
+/// The path of the gateway's readiness check.
 pub(crate) const READINESS_PATH: &str = "/up";
-/// An endpoint's liveness.
+/// The path of an endpoint's liveness check.
 pub(crate) const LIVENESS_PATH: &str = "/alive";
-/// An endpoint's load report as a response body.
+/// The path at which an endpoint returns its load report as the response body.
 pub(crate) const LOAD_REPORT_PATH: &str = "/metrics/load";
-/// The endpoint list, at the discovery service.
+/// The path of the endpoint list at the discovery service.
 pub(crate) const ENDPOINT_LIST_PATH: &str = "/discovery/hosts";
 
-/// The bytes that end the head of an HTTP/1.1 message.
+/// The end of the head of an HTTP/1.1 message: the end of its last line and an empty line.
 pub(crate) const HEAD_END: &[u8] = b"\r\n\r\n";
--- a/gateway/src/http_connection/exchange_state.rs
+++ b/gateway/src/http_connection/exchange_state.rs
@@ -90,7 +90,7 @@
 }
 
 impl StreamObserver for ExchangeState {
-    fn record_read(&self, bytes: &[u8]) {
+    fn on_read(&self, bytes: &[u8]) {
         if bytes.is_empty() || self.is_final.get() {
             return;
         }
@@ -113,7 +113,7 @@
         }
     }
 
-    fn record_write(&self, count: usize) {
+    fn on_write(&self, count: usize) {
         if count > 0 {
             self.write_progress.set(WriteProgress::Partial);
         }
@@ -122,7 +122,7 @@
     /// The HTTP library flushes once everything it holds has been written, and it holds complete requests, as
     /// their bodies are in memory. It does so in the same poll as the last write, so nothing comes between
     /// the two.
-    fn record_flush(&self) {
+    fn on_flush(&self) {
         if self.write_progress.get() == WriteProgress::Partial {
             self.write_progress.set(WriteProgress::Complete);
         }
--- a/gateway/src/instrumented_stream.rs
+++ b/gateway/src/instrumented_stream.rs
@@ -1,7 +1,7 @@
-//! A socket that reports to an observer what passes through it.
+//! A socket that reports its reads, writes and flushes to an observer.
 //!
-//! The HTTP library hides the bytes that it reads and writes, but timeouts, the check of request heads and
-//! the decision about a retry depend on them.
+//! The HTTP library does not expose the bytes that it reads and writes, but timeouts, the check of request
+//! heads and the decision about a retry depend on them.
 
 use crate::socket::SharedStream;
 use std::io;
@@ -10,26 +10,26 @@
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Whoever records what passes through a stream.
+/// Observes the reads, writes and flushes of a stream.
 pub(crate) trait StreamObserver {
-    /// Records the bytes of one read; there are none at the end of the stream.
-    fn record_read(&self, bytes: &[u8]);
+    /// Called with the bytes of each read; they are empty at the end of the stream.
+    fn on_read(&self, bytes: &[u8]);
 
-    /// Records that `count` bytes were written.
-    fn record_write(&self, _count: usize) {}
+    /// Called after `count` bytes were written.
+    fn on_write(&self, _count: usize) {}
 
-    /// Records a flush.
-    fn record_flush(&self) {}
+    /// Called before each flush.
+    fn on_flush(&self) {}
 }
 
-/// A socket with an observer.
+/// A socket whose I/O is reported to an observer.
 pub(crate) struct InstrumentedStream<O> {
     socket: SharedStream,
     observer: Rc<O>,
 }
 
 impl<O> InstrumentedStream<O> {
-    /// Reports to `observer` what passes through the socket.
+    /// Wraps a socket and reports its I/O to `observer`.
     pub(crate) fn new(socket: SharedStream, observer: Rc<O>) -> Self {
         Self { socket, observer }
     }
@@ -41,7 +41,7 @@
     ) -> Poll<io::Result<()>> {
         let filled_before = buf.filled().len();
         ready!(Pin::new(&mut self.socket).poll_read(cx, buf))?;
-        self.observer.record_read(&buf.filled()[filled_before..]);
+        self.observer.on_read(&buf.filled()[filled_before..]);
         Poll::Ready(Ok(()))
     }
 }
@@ -55,7 +55,7 @@
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.socket).poll_write_vectored(cx, bufs))?;
-        self.observer.record_write(written);
+        self.observer.on_write(written);
         Poll::Ready(Ok(written))
     }
 
@@ -64,7 +64,7 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.observer.record_flush();
+        self.observer.on_flush();
         Pin::new(&mut self.socket).poll_flush(cx)
     }
 
--- a/gateway/src/request_table.rs
+++ b/gateway/src/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests without a final response, and their attempts that have not ended.
+//! The requests in progress, which have no final response yet, and their attempts in flight.
 
 use crate::clock::duration;
 use crate::endpoint::{AttemptLimits, EndpointResponse, ForwardedRequest};
@@ -13,14 +13,14 @@
 pub(crate) enum FinalResponse {
     /// An endpoint served the request.
     Served(EndpointResponse),
-    /// The request was rejected; a retry is harmless.
+    /// The request was rejected. The client is told that a retry is safe.
     Rejected {
         /// How long the client should wait before it retries.
         retry_after: Millis,
     },
-    /// The request failed and may have run.
+    /// The request failed. An endpoint may have run it.
     Failed,
-    /// The request failed, as its last attempt timed out, and may have run.
+    /// The request failed because its last attempt timed out. An endpoint may have run it.
     TimedOut,
 }
 
@@ -35,78 +35,76 @@
 }
 
 impl RequestInProgress {
-    /// The final response if there are no further attempts.
+    /// The final response if the request fails after its last attempt.
     pub(crate) fn failure(&self) -> FinalResponse {
         if self.last_attempt_timed_out { FinalResponse::TimedOut } else { FinalResponse::Failed }
     }
 
-    /// Passes the final response on to the client.
+    /// Sends the final response to the task that serves the client.
     pub(crate) fn finish(self, response: FinalResponse) {
-        // Fails if nobody waits any more, as the client has had a response at its deadline.
+        // Fails if the receiver was dropped because the client got a response at its deadline.
         let _ = self.final_response.send(response);
     }
 }
 
-/// A request that was submitted.
+/// A request that was added to the table.
 pub(crate) struct SubmittedRequest {
-    /// The id by which the policy refers to it.
+    /// The ID by which the policy refers to the request.
     pub(crate) id: RequestId,
-    /// Receives the final response, unless the request is removed before.
+    /// Receives the final response, or an error if the request is removed without one.
     pub(crate) final_response: oneshot::Receiver<FinalResponse>,
 }
 
 /// An attempt that has not ended.
 struct AttemptInFlight {
     number: u32,
-    /// `None` once it is cancelled.
+    /// `None` once the attempt is cancelled.
     cancel: Option<oneshot::Sender<()>>,
 }
 
 impl AttemptInFlight {
     fn cancel(&mut self) {
         if let Some(cancel) = self.cancel.take() {
-            // Fails if the attempt has just ended.
+            // Fails if the attempt has already ended.
             let _ = cancel.send(());
         }
     }
 }
 
-/// How long an attempt may take, from its start; `None` for no other limit than the request's.
+/// The timeouts of an attempt, from its start. `None` where only the request's deadline applies.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptTimeouts {
-    /// Until it ends.
+    /// The time until the attempt ends.
     pub(crate) total: Option<Millis>,
-    /// Until its last byte is written.
+    /// The time until the last byte of the request is written.
     pub(crate) write: Option<Millis>,
 }
 
-/// An attempt that was added to the table, with all it needs to run.
+/// An attempt that was added to the table, with the inputs to run it.
 pub(crate) struct StartedAttempt {
-    /// Its number among the attempts of its request, from 0.
+    /// The index of the attempt among those of its request, from 0.
     pub(crate) number: u32,
-    /// When it started.
     pub(crate) started_at: Instant,
-    /// What to send.
+    /// The request to forward.
     pub(crate) request: ForwardedRequest,
-    /// The client that waits for it.
+    /// The socket of the client, to detect that it disconnects.
     pub(crate) client: SharedStream,
-    /// When it must have ended.
     pub(crate) limits: AttemptLimits,
-    /// Resolves when it is cancelled.
+    /// Resolves when the attempt is cancelled.
     pub(crate) cancelled: oneshot::Receiver<()>,
 }
 
-/// The requests in progress and the attempts in flight: at most one of each request.
+/// The requests in progress and the attempts in flight, at most one for each request.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     requests: HashMap<RequestId, RequestInProgress>,
-    /// By request. An attempt may outlive its request.
+    /// The attempts in flight, by request. An attempt may outlive its request.
     attempts: HashMap<RequestId, AttemptInFlight>,
     last_id: RequestId,
 }
 
 impl RequestTable {
-    /// Adds a request whose attempts end by the deadline.
+    /// Adds a request whose attempts end at `deadline` at the latest.
     pub(crate) fn insert(
         &mut self, request: ForwardedRequest, client: SharedStream, deadline: Instant,
     ) -> SubmittedRequest {
@@ -134,12 +132,14 @@
         self.requests.contains_key(&id)
     }
 
-    /// Removes a request that is in progress. Whoever removes it gives its final response: there is no other.
+    /// Removes a request in progress. Only the caller that removes a request can send its final response, so
+    /// a request never gets two.
     pub(crate) fn remove(&mut self, id: RequestId) -> Option<RequestInProgress> {
         self.requests.remove(&id)
     }
 
-    /// Starts an attempt of a request that is in progress and has no attempt in flight.
+    /// Adds an attempt of a request. Returns `None` unless the request is in progress and has no attempt in
+    /// flight.
     pub(crate) fn start_attempt(
         &mut self, id: RequestId, timeouts: AttemptTimeouts,
     ) -> Option<StartedAttempt> {
@@ -172,14 +172,14 @@
         }
     }
 
-    /// Cancels the attempt of a request, if one is in flight.
+    /// Cancels the attempt that a request has in flight, if any.
     pub(crate) fn cancel_any_attempt(&mut self, id: RequestId) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.cancel();
         }
     }
 
-    /// Removes the attempt of a request that has ended.
+    /// Removes the attempt of a request, which has ended.
     pub(crate) fn remove_attempt(&mut self, id: RequestId) {
         self.attempts.remove(&id);
     }
--- a/gateway/src/socket.rs
+++ b/gateway/src/socket.rs
@@ -1,5 +1,5 @@
-//! TCP streams: connecting, the classification of their errors, and a stream that its owner can go on
-//! inspecting after the HTTP library has received it.
+//! TCP streams: connecting, classifying errors, and a stream whose owner can inspect the socket while the
+//! HTTP library reads and writes it.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -13,14 +13,15 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// The delay before a connection attempt that failed for a local reason is retried.
+/// The delay before connecting is retried after it failed for lack of a local resource.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// How long bytes that arrived before a timeout may take to be read.
-const UNREAD_GRACE: Duration = Duration::from_millis(20);
+/// The longest time for which bytes that arrived before a timeout delay it.
+const PENDING_READ_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Local failures that are not transient: descriptors, local ports or a route are missing.
-const LOCAL_ERRNOS: [i32; 8] = [
+/// Errors for lack of a local resource: file descriptors, local ports or a route. The transient errors of
+/// [`is_transient`] are not among them.
+const LOCAL_RESOURCE_ERRNOS: [i32; 8] = [
     libc::EMFILE,
     libc::ENFILE,
     libc::ENOSPC,
@@ -31,37 +32,37 @@
     libc::ENETUNREACH,
 ];
 
-/// Whether a call on a stream failed for lack of memory. It had no effect and may be made again.
+/// Whether a call on a stream failed for lack of memory. Such a call had no effect and may be repeated.
 fn is_out_of_memory(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::OutOfMemory || error.raw_os_error() == Some(libc::ENOBUFS)
 }
 
-/// Whether a call on a stream failed for a reason that lies neither with the peer nor with the connection. It
-/// may be made again.
+/// Whether a call on a stream failed for a reason other than the peer or the connection, so that it may be
+/// repeated.
 pub(crate) fn is_transient(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::Interrupted || is_out_of_memory(error)
 }
 
 /// Whether a call failed because this machine lacks a resource: descriptors, memory, local ports, a route.
 pub(crate) fn is_local_error(error: &io::Error) -> bool {
-    is_transient(error) || error.raw_os_error().is_some_and(|errno| LOCAL_ERRNOS.contains(&errno))
+    is_transient(error) || error.raw_os_error().is_some_and(|errno| LOCAL_RESOURCE_ERRNOS.contains(&errno))
 }
 
 /// Why no connection was established.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
     /// This machine lacks a resource. The peer is not at fault.
-    #[error("no connection could be started: {0}")]
+    #[error("cannot open a connection for lack of a local resource: {0}")]
     Local(#[source] io::Error),
     /// The peer refused the connection or is unreachable.
-    #[error("the peer refused or is unreachable: {0}")]
+    #[error("the peer refused the connection or is unreachable: {0}")]
     Peer(#[source] io::Error),
     /// The peer did not respond in time.
-    #[error("no connection in time")]
+    #[error("connect timed out")]
     TimedOut,
 }
 
-/// Connects within `timeout`. Attempts that fail for a local reason are retried until then.
+/// Connects within `timeout`. Until then, failures for lack of a local resource are retried.
 ///
 /// # Errors
 /// When no connection is established in time.
@@ -70,7 +71,7 @@
     loop {
         let error = match timeout_at(deadline, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => {
-                disable_write_delay(&stream);
+                disable_nagle(&stream);
                 return Ok(stream);
             }
             Ok(Err(error)) => error,
@@ -86,38 +87,37 @@
     }
 }
 
-/// Has the kernel send small writes at once. A failure is ignored: delayed writes are no reason to close the
-/// connection.
-pub(crate) fn disable_write_delay(stream: &TcpStream) {
+/// Disables Nagle's algorithm, so that the kernel sends small writes at once. A failure is ignored: delayed
+/// writes are no reason to close the connection.
+pub(crate) fn disable_nagle(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
 }
 
-/// A stream that is shared between the HTTP library, which reads and writes it, and its owner, who checks its
-/// state.
+/// A TCP stream that the HTTP library reads and writes while its owner inspects the state of the socket.
 #[derive(Clone)]
 pub struct SharedStream {
     stream: Rc<TcpStream>,
 }
 
 impl SharedStream {
-    /// Shares a stream.
+    /// Wraps a stream; clones refer to the same socket.
     pub fn new(stream: TcpStream) -> Self {
         Self { stream: Rc::new(stream) }
     }
 
     /// Resolves once the peer has closed its sending side, or the connection has broken.
     ///
-    /// It waits for readiness and reads nothing, as the end may be behind bytes that nobody has read. Of the
-    /// interests that can be waited for, only that in priority data becomes ready by an end and not by
-    /// ordinary bytes; as no socket here is registered for priority data, nothing but an end makes it ready.
+    /// Waits for readiness without reading, as unread bytes may precede the end of the stream. Priority data
+    /// is the only interest that becomes ready at the end of the stream but not for ordinary bytes. No socket
+    /// here is registered for priority data itself, so nothing else makes it ready.
     pub async fn closed_by_peer(&self) {
         let _ = self.stream.ready(Interest::PRIORITY).await;
     }
 
     /// Whether the peer has closed its sending side, or the connection has broken.
     ///
-    /// The event loop's state is as old as its last iteration, so the kernel is queried. Only the event loop
-    /// knows of an end behind unread bytes: it has to run an iteration first then.
+    /// Queries the kernel, as the event loop's state dates from its last iteration. Where unread bytes
+    /// precede the end of the stream, only the event loop can detect it, and first has to run an iteration.
     pub async fn is_closed_by_peer(&self) -> bool {
         match self.peek() {
             Ok(0) => return true,
@@ -137,7 +137,7 @@
         peek(&self.stream)
     }
 
-    /// Lets other tasks read what has arrived on the socket and was not read yet, before a timeout takes effect.
+    /// Delays a timeout until other tasks could read the bytes that have already arrived on the socket.
     pub async fn wait_for_pending_read(&self) {
         wait_for_pending_read(&self.stream).await;
     }
@@ -153,20 +153,20 @@
     }
 }
 
-/// To be called when a timeout ends a wait for bytes, before it takes effect: resolves at once if nothing has
-/// arrived, else after a moment in which the event loop reports the bytes.
+/// Delays a timeout of a wait for bytes. Resolves at once if nothing has arrived; otherwise after the event
+/// loop has reported the bytes as readable and other tasks have run, or after [`PENDING_READ_TIMEOUT`].
 ///
-/// A wait of the event loop that a signal interrupts reports no readiness, but timers are handled after it.
-/// After a pause of the process all of them are due, however long the bytes have been there.
+/// When a signal interrupts the event loop's wait for I/O, the iteration reports no readiness but still fires
+/// timers. After the process was paused, all timers are due although bytes may have arrived long before.
 pub(crate) async fn wait_for_pending_read(stream: &TcpStream) {
     if matches!(peek(stream), Ok(1..)) {
-        let _ = timeout(UNREAD_GRACE, stream.readable()).await;
+        let _ = timeout(PENDING_READ_TIMEOUT, stream.readable()).await;
         yield_now().await;
     }
 }
 
-/// Reschedules the task, so that the call is made again after other tasks have run.
-fn retry_later<T>(cx: &Context<'_>) -> Poll<T> {
+/// Wakes the task, so that the call is repeated after other tasks have run.
+fn reschedule<T>(cx: &Context<'_>) -> Poll<T> {
     cx.waker().wake_by_ref();
     Poll::Pending
 }
@@ -182,7 +182,7 @@
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) if is_out_of_memory(&error) => return retry_later(cx),
+                Err(error) if is_out_of_memory(&error) => return reschedule(cx),
                 Err(error) => return Poll::Ready(Err(error)),
             }
         }
@@ -202,7 +202,7 @@
             match self.stream.try_write_vectored(bufs) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) if is_out_of_memory(&error) => return retry_later(cx),
+                Err(error) if is_out_of_memory(&error) => return reschedule(cx),
                 written => return Poll::Ready(written),
             }
         }
--- a/gateway/src/task.rs
+++ b/gateway/src/task.rs
@@ -1,6 +1,6 @@
-//! Tasks on the gateway's one thread.
+//! Spawning of tasks on the gateway's only thread.
 
-/// Runs a task on the current thread, for as long as the program runs.
+/// Spawns a detached task on the current thread. It runs until it completes or the runtime shuts down.
 ///
 /// # Panics
 /// Outside of a [`LocalSet`](tokio::task::LocalSet).
