--- a/gateway/src/http_connection/connection.rs
+++ b/gateway/src/http_connection/connection.rs
@@ -1,4 +1,4 @@
-//! One connection and the exchanges on it.
+//! A connection to a server, and the exchanges of a request and its response on it.
 
 use crate::http_connection::error::ExchangeError;
 use crate::http_connection::exchange_state::{ExchangeState, MAX_HEAD_BYTES};
@@ -21,12 +21,12 @@
 /// The limits of an exchange.
 #[derive(Clone, Copy, Debug)]
 pub struct ExchangeLimits {
-    /// The largest body of a response, in bytes.
+    /// The maximum size of a response body, in bytes.
     pub max_body_bytes: usize,
-    /// How long after its first byte a response must be complete. Without it a response shorter than it
-    /// announces would be waited for indefinitely.
+    /// The time from the first byte of a response to its last. Without this limit, a response with fewer
+    /// bytes than its `Content-Length` would be awaited indefinitely.
     pub response_timeout: Duration,
-    /// The time by which the request must be written completely, or is abandoned.
+    /// When the exchange fails unless the request has been written completely.
     pub write_deadline: Option<Instant>,
 }
 
@@ -39,10 +39,10 @@
 }
 
 impl Connection {
-    /// Connects.
+    /// Connects to a server.
     ///
     /// # Errors
-    /// When no connection is established in time.
+    /// If no connection is established within `timeout`.
     pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<Self, ConnectError> {
         let socket = SharedStream::new(connect(address, timeout).await?);
         let state = Rc::<ExchangeState>::default();
@@ -53,14 +53,14 @@
         Ok(Self { sender, driver: Some(Box::pin(driver)), socket, state })
     }
 
-    /// Whether the idle connection is alive. Queries the kernel, as the event loop may not have been notified
-    /// yet. A connection with unrequested data to read is not usable either.
+    /// Whether an idle connection can be used. Queries the kernel, as the event loop may not have been
+    /// notified of a close yet. A connection with unsolicited data to read cannot be used either.
     pub fn is_alive(&self) -> bool {
         let peeked = self.socket.peek();
         self.driver.is_some() && peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// The socket, for its owner to inspect while an exchange is in progress.
+    /// The socket, which the caller may inspect while an exchange is in progress.
     pub fn socket(&self) -> SharedStream {
         self.socket.clone()
     }
@@ -68,7 +68,7 @@
     /// Sends a request and returns the complete response.
     ///
     /// # Errors
-    /// When the connection fails first, a limit is exceeded or the response cannot be read.
+    /// If the connection fails, a limit is exceeded or the response is invalid.
     pub async fn exchange(
         &mut self, request: Request<Full<Bytes>>, limits: ExchangeLimits,
     ) -> Result<Response<Bytes>, ExchangeError> {
@@ -89,7 +89,7 @@
         response.ok_or_else(|| state.error())
     }
 
-    /// Whether the connection can carry another request now.
+    /// Whether the connection can carry another request. Polls the connection until the HTTP library knows.
     pub async fn is_reusable(&mut self) -> bool {
         let driver = &mut self.driver;
         let sender = &mut self.sender;
@@ -101,14 +101,15 @@
     }
 }
 
-/// Resolves once a response is overdue although what had arrived of it has been read.
+/// Resolves when the response is overdue. Bytes that arrived before the timeout are read first, as they may
+/// complete the response.
 async fn response_overdue(state: &ExchangeState, socket: &SharedStream, timeout: Duration) {
     state.response_overdue(timeout).await;
     socket.wait_for_pending_read().await;
     state.response_overdue(timeout).await;
 }
 
-/// The HTTP library's side of the connection; `None` once the connection has ended.
+/// The HTTP library's future that reads and writes the connection; `None` once it has completed.
 type Driver = Option<Pin<Box<http1::Connection<TokioIo<InstrumentedStream<ExchangeState>>, Full<Bytes>>>>>;
 
 fn poll_driver(driver: &mut Driver, cx: &mut Context<'_>) {
@@ -117,12 +118,12 @@
     }
 }
 
-/// Waits for a future that needs the connection to make progress, and polls the connection meanwhile.
-async fn drive<T>(driver: &mut Driver, wanted: impl Future<Output = T>) -> T {
-    let mut wanted = pin!(wanted);
+/// Runs a future that depends on the progress of the connection, and polls both.
+async fn drive<T>(driver: &mut Driver, future: impl Future<Output = T>) -> T {
+    let mut future = pin!(future);
     poll_fn(|cx| {
         poll_driver(driver, cx);
-        wanted.as_mut().poll(cx)
+        future.as_mut().poll(cx)
     })
     .await
 }
--- a/gateway/src/http_connection/error.rs
+++ b/gateway/src/http_connection/error.rs
@@ -1,20 +1,20 @@
-//! Why an exchange on a connection failed.
+//! The error of an exchange on a connection.
 
 use thiserror::Error;
 
-/// Why an exchange failed, by how far it had got.
+/// Why an exchange failed, by its progress: whether the server may have run the request depends on it.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ExchangeError {
     /// No byte of the request was written.
-    #[error("the connection ended before the request was written")]
+    #[error("the exchange failed before the request was written")]
     NotSent,
-    /// At least a byte of the request was written, but not its last.
-    #[error("the connection ended while the request was written")]
+    /// Some bytes of the request were written, but not the last.
+    #[error("the exchange failed while the request was written")]
     PartiallySent,
-    /// The request was written completely and no response began.
-    #[error("the connection ended before the response")]
+    /// The request was written completely, but no response began, apart from complete interim responses.
+    #[error("the exchange failed before a response began")]
     NoResponse,
-    /// A response began, but none that can be used.
+    /// A response began, but it is malformed, too large or incomplete.
     #[error("the response is malformed, too large or incomplete")]
     InvalidResponse,
 }
--- a/gateway/src/http_connection/exchange_state.rs
+++ b/gateway/src/http_connection/exchange_state.rs
@@ -1,8 +1,7 @@
 //! The progress of the current exchange on a connection.
 //!
-//! The HTTP library reports an error without saying how much of the request was written or whether a response
-//! had begun. Both decide whether a request may be retried, so they are recorded from the bytes
-//! themselves.
+//! The HTTP library's errors do not show how much of the request was written or whether a response had begun.
+//! Both decide whether a request may be retried, so they are tracked by observing the reads and writes.
 
 use crate::headers::HEAD_END;
 use crate::http_connection::error::ExchangeError;
@@ -12,48 +11,48 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// The longest head of a response, in bytes. Bounds the memory for heads that do not end.
+/// The maximum size of a response head, in bytes. Bounds the memory for heads that never end.
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// How the head of an interim (1xx) response begins.
+/// The start of the head of an interim (1xx) response.
 const INTERIM_PREFIX: &[u8] = b"HTTP/1.1 1";
 
 /// How much of a request has been written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum WriteProgress {
-    /// Nothing.
+    /// No byte.
     #[default]
     NotStarted,
-    /// At least a byte, but not its last.
+    /// Some bytes, but not the last.
     Partial,
-    /// All of it.
+    /// All bytes.
     Complete,
 }
 
-/// The progress of the current exchange, recorded by the stream.
+/// The progress of the current exchange, updated by the stream's reads, writes and flushes.
 #[derive(Default)]
 pub(super) struct ExchangeState {
     write_progress: Cell<WriteProgress>,
-    /// When the response began, or the interim response that has not ended yet. Interim responses may precede
-    /// the final one by any time.
+    /// When the final response, or the interim response that is being received, began. `None` between them,
+    /// as any time may pass between an interim response and the final one.
     response_began_at: Cell<Option<Instant>>,
-    /// The bytes received of a head that may be that of an interim response; it may arrive in several reads.
+    /// The bytes received of a head that may be that of an interim response. They may arrive in several
+    /// reads.
     interim_head: RefCell<Vec<u8>>,
-    /// Whether the final response has begun.
-    is_final: Cell<bool>,
+    final_response_began: Cell<bool>,
     response_began: Notify,
 }
 
 impl ExchangeState {
-    /// Begins another exchange.
+    /// Resets the progress for another exchange.
     pub(super) fn reset(&self) {
         self.write_progress.set(WriteProgress::NotStarted);
         self.response_began_at.set(None);
         self.interim_head.borrow_mut().clear();
-        self.is_final.set(false);
+        self.final_response_began.set(false);
     }
 
-    /// How the exchange fails if its connection ends now.
+    /// The error of the exchange if it fails now.
     pub(super) fn error(&self) -> ExchangeError {
         if self.response_began_at.get().is_some() {
             return ExchangeError::InvalidResponse;
@@ -65,7 +64,7 @@
         }
     }
 
-    /// Resolves once a response, or an interim response, has not ended within `timeout` of its first byte.
+    /// Resolves when an interim or final response is incomplete `timeout` after its first byte.
     pub(super) async fn response_overdue(&self, timeout: Duration) {
         loop {
             let Some(began_at) = self.response_began_at.get() else {
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Resolves at the deadline if the request has not been written completely by then.
+    /// Resolves at the deadline unless the request has been written completely by then.
     pub(super) async fn write_overdue(&self, deadline: Option<Instant>) {
         let Some(deadline) = deadline else { return std::future::pending().await };
         sleep_until(deadline).await;
@@ -91,20 +90,20 @@
 
 impl StreamObserver for ExchangeState {
     fn on_read(&self, bytes: &[u8]) {
-        if bytes.is_empty() || self.is_final.get() {
+        if bytes.is_empty() || self.final_response_began.get() {
             return;
         }
         let mut head = self.interim_head.borrow_mut();
         head.extend_from_slice(bytes);
-        while let Some(end) = interim_end(&head) {
-            head.drain(..end);
+        while let Some(length) = interim_response_length(&head) {
+            head.drain(..length);
             self.response_began_at.set(None);
         }
         if head.is_empty() {
             return;
         }
         if !may_be_interim(&head) {
-            self.is_final.set(true);
+            self.final_response_began.set(true);
             *head = Vec::new();
         }
         if self.response_began_at.get().is_none() {
@@ -119,9 +118,9 @@
         }
     }
 
-    /// The HTTP library flushes once everything it holds has been written, and it holds complete requests, as
-    /// their bodies are in memory. It does so in the same poll as the last write, so nothing comes between
-    /// the two.
+    /// Marks the request as written. The HTTP library flushes after it has written its whole buffer, which
+    /// holds the complete request, as the body is in memory. It flushes in the same poll as the last write,
+    /// so nothing can happen between the two.
     fn on_flush(&self) {
         if self.write_progress.get() == WriteProgress::Partial {
             self.write_progress.set(WriteProgress::Complete);
@@ -129,8 +128,8 @@
     }
 }
 
-/// The length of the interim response that the bytes begin with, if they hold it completely.
-fn interim_end(bytes: &[u8]) -> Option<usize> {
+/// The length of the interim response at the start of the bytes, if it is there and complete.
+fn interim_response_length(bytes: &[u8]) -> Option<usize> {
     if !bytes.starts_with(INTERIM_PREFIX) {
         return None;
     }
@@ -138,7 +137,7 @@
     Some(end + HEAD_END.len())
 }
 
-/// Whether the bytes may be the beginning of an interim response.
+/// Whether the bytes may be the start of an interim response.
 fn may_be_interim(bytes: &[u8]) -> bool {
     let compared = bytes.len().min(INTERIM_PREFIX.len());
     bytes[..compared] == INTERIM_PREFIX[..compared] && bytes.len() <= MAX_HEAD_BYTES
--- a/gateway/src/socket.rs
+++ b/gateway/src/socket.rs
@@ -154,7 +154,7 @@
 }
 
 /// Delays a timeout of a wait for bytes. Resolves at once if nothing has arrived; otherwise after the event
-/// loop has reported the bytes as readable and other tasks have run, or after [`PENDING_READ_TIMEOUT`].
+/// loop has reported the bytes as readable, or [`PENDING_READ_TIMEOUT`] has passed, and other tasks have run.
 ///
 /// When a signal interrupts the event loop's wait for I/O, the iteration reports no readiness but still fires
 /// timers. After the process was paused, all timers are due although bytes may have arrived long before.
