--- a/gateway/src/endpoint/attempt.rs
+++ b/gateway/src/endpoint/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to have a request served by an endpoint, and how it ended.
+//! One attempt of a request: forwards it to an endpoint and classifies the result.
 
 use crate::clock::millis;
 use crate::endpoint::exchange::{EndpointRequest, exchange};
@@ -20,16 +20,16 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep_until};
 
-/// Headers of a response that belong to the connection to the endpoint, and are not forwarded to the client.
-const CONNECTION_HEADERS: [&str; 6] =
+/// Response headers that are not forwarded to the client: hop-by-hop headers, which apply to the connection
+/// to the endpoint only, and `content-length`, which the HTTP library sets anew.
+const HOP_BY_HOP_HEADERS: [&str; 6] =
     ["connection", "keep-alive", "transfer-encoding", "content-length", "upgrade", "trailer"];
 
 /// The part of a client's request that is forwarded to endpoints.
 #[derive(Clone, Debug)]
 pub(crate) struct ForwardedRequest {
-    /// The method.
     pub(crate) method: Method,
-    /// Path and query, as received.
+    /// The path and query, as received.
     pub(crate) target: PathAndQuery,
     /// The value of [`REQUEST_ID`].
     pub(crate) request_id: HeaderValue,
@@ -37,36 +37,33 @@
     pub(crate) idempotency_key: Option<HeaderValue>,
     /// The value of `Content-Type`.
     pub(crate) content_type: Option<HeaderValue>,
-    /// The body.
     pub(crate) body: Bytes,
 }
 
-/// When an attempt must have ended.
+/// The deadlines of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptLimits {
-    /// The attempt ends at this time at the latest, and nothing is written from then on.
+    /// When the attempt ends at the latest. Nothing is written afterwards.
     pub(crate) deadline: Instant,
-    /// The request's last byte is written before this time, or the attempt is abandoned.
+    /// When the attempt is abandoned unless the last byte of the request has been written.
     pub(crate) write_deadline: Option<Instant>,
 }
 
 /// An endpoint's response with status 200.
 #[derive(Debug)]
 pub(crate) struct EndpointResponse {
-    /// Its headers, without those that belong to the connection.
+    /// The headers, without the [`HOP_BY_HOP_HEADERS`].
     pub(crate) headers: HeaderMap,
-    /// Its body.
     pub(crate) body: Bytes,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub(crate) struct AttemptResult {
-    /// How it ended.
     pub(crate) outcome: Outcome,
     /// The response, if the request was served.
     pub(crate) response: Option<EndpointResponse>,
-    /// The load report in the response's headers.
+    /// The load report in the headers of the response.
     pub(crate) load_report: Option<LoadReport>,
 }
 
@@ -76,7 +73,7 @@
     }
 }
 
-/// One attempt to have a request served by one endpoint.
+/// One attempt of a request at one endpoint.
 pub(crate) struct Attempt<'a> {
     endpoint: &'a Name,
     request: ForwardedRequest,
@@ -86,8 +83,8 @@
 }
 
 impl<'a> Attempt<'a> {
-    /// An attempt that is abandoned when `cancelled` resolves, and not started once the `client` has
-    /// disconnected.
+    /// Creates an attempt that is abandoned when `cancelled` resolves, and that writes nothing if the
+    /// `client` has disconnected before.
     pub(crate) fn new(
         endpoint: &'a Name, request: ForwardedRequest, limits: AttemptLimits,
         cancelled: oneshot::Receiver<()>, client: &'a SharedStream,
@@ -95,27 +92,27 @@
         Self { endpoint, request, limits, cancellation: Cancellation(RefCell::new(cancelled)), client }
     }
 
-    /// Sends the request and returns how that ended, once the connection is closed or idle again.
+    /// Sends the request and returns the result once the connection is closed or idle again.
     pub(crate) async fn run(self, endpoints: &EndpointRegistry) -> AttemptResult {
-        let began = Instant::now();
-        // Whichever branch is chosen, the exchange is dropped, and its connection closed, before the result
-        // is known.
+        let started_at = Instant::now();
+        // Cancellation and timeout drop the exchange, which closes its connection, before there is a result.
         let result = tokio::select! {
             biased;
             response = exchange(endpoints, self.endpoint, &self) => match response {
-                Ok(response) => classify(response, endpoints.load_report_source()),
+                Ok(response) => attempt_result(response, endpoints.load_report_source()),
                 Err(outcome) => outcome.into(),
             },
             () = self.cancellation.requested() => Outcome::Cancelled.into(),
             () = self.deadline_passed() => Outcome::TimedOut.into(),
         };
         if result.outcome == Outcome::TimedOut {
-            endpoints.record_timeout(self.endpoint, began);
+            endpoints.record_timeout(self.endpoint, started_at);
         }
         result
     }
 
-    /// Resolves at the deadline, after an iteration of the event loop that reports what had arrived by then.
+    /// Resolves at the deadline, after an iteration of the event loop that reports the bytes that arrived by
+    /// then.
     async fn deadline_passed(&self) {
         sleep_until(self.limits.deadline).await;
         yield_now().await;
@@ -137,9 +134,9 @@
         self.limits.write_deadline
     }
 
-    /// The client may have disconnected, the attempt may have been cancelled, or its time may have ended, in
-    /// the iteration of the event loop in which the connection was established: so each is checked.
-    async fn check_may_begin(&self) -> Result<(), Outcome> {
+    /// Checks for a disconnect of the client, a cancellation and the deadlines: each may have occurred in the
+    /// iteration of the event loop in which the connection was established.
+    async fn check_before_write(&self) -> Result<(), Outcome> {
         if self.client.is_closed_by_peer().await || self.cancellation.is_requested() {
             return Err(Outcome::Cancelled);
         }
@@ -169,7 +166,7 @@
     }
 }
 
-/// Whether an attempt has been cancelled.
+/// The receiver of the signal that cancels an attempt.
 struct Cancellation(RefCell<oneshot::Receiver<()>>);
 
 impl Cancellation {
@@ -177,14 +174,14 @@
         self.0.borrow_mut().try_recv().is_ok()
     }
 
-    /// Resolves once the attempt is cancelled, or nobody can cancel it any more.
+    /// Resolves when the attempt is cancelled, or can no longer be because the sender was dropped.
     async fn requested(&self) {
         let _ = poll_fn(|cx| Pin::new(&mut *self.0.borrow_mut()).poll(cx)).await;
     }
 }
 
-/// Classifies a response.
-fn classify(response: Response<Bytes>, load_report_source: LoadReportSource) -> AttemptResult {
+/// Converts a response to the result of the attempt.
+fn attempt_result(response: Response<Bytes>, load_report_source: LoadReportSource) -> AttemptResult {
     let (head, body) = response.into_parts();
     let mut headers = head.headers;
     let is_marked_rejected = headers.get(REJECTED).is_some_and(|value| value == "1");
@@ -193,7 +190,7 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_marked_rejected => {
             Outcome::Rejected
         }
-        // With any other status the endpoint may have run the request, whatever the value of the header.
+        // With any other status the endpoint may have run the request, even if the header marks a rejection.
         _ => Outcome::Error,
     };
     let load_report = headers
@@ -201,7 +198,7 @@
         .filter(|_| load_report_source == LoadReportSource::Responses)
         .and_then(|report| report.to_str().ok().and_then(load_report::parse));
     let response = (outcome == Outcome::Served).then(|| {
-        for name in CONNECTION_HEADERS {
+        for name in HOP_BY_HOP_HEADERS {
             headers.remove(name);
         }
         EndpointResponse { headers, body }
--- a/gateway/src/endpoint/connection_limit.rs
+++ b/gateway/src/endpoint/connection_limit.rs
@@ -1,9 +1,9 @@
-//! The limit on connections in use at the same time.
+//! The limit on connections to endpoints.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts connections in use and bounds connections in use and idle together.
+/// Counts the connections in use and limits the number of open connections, in use or idle.
 pub(super) struct ConnectionLimit {
     max_open: usize,
     in_use: Rc<Cell<usize>>,
@@ -15,7 +15,8 @@
         Self { max_open, in_use: Rc::default() }
     }
 
-    /// Reserves a slot for a connection in use, unless none is free.
+    /// Reserves a slot for a connection in use. Returns `None` if as many connections are in use as may be
+    /// open.
     pub(super) fn reserve(&self) -> Option<ConnectionSlot> {
         let in_use = self.in_use.get();
         if in_use >= self.max_open {
@@ -25,7 +26,7 @@
         Some(ConnectionSlot(self.in_use.clone()))
     }
 
-    /// The number of connections above the limit, with `idle` connections besides those in use.
+    /// How many open connections exceed the limit if `idle` connections are open besides those in use.
     pub(super) fn excess(&self, idle: usize) -> usize {
         (self.in_use.get() + idle).saturating_sub(self.max_open)
     }
--- a/gateway/src/endpoint/exchange.rs
+++ b/gateway/src/endpoint/exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::endpoint::connections::{AcquireError, AcquiredConnection};
 use crate::endpoint::registry::EndpointRegistry;
-use crate::endpoint::stale_connections::ExchangeResult;
+use crate::endpoint::stale_connections::ConnectionOutcome;
 use crate::http_connection::{ExchangeError, ExchangeLimits};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -12,56 +12,57 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The largest body of a request or a response, in bytes.
+/// The maximum size of the body of a request or a response, in bytes.
 pub(crate) const MAX_BODY_BYTES: usize = 64 * 1024;
-/// A response must be complete this long after its first byte: it is small and ready when that is written.
+/// The time from the first byte of a response to its last. Responses are small, and endpoints have them ready
+/// when they write the first byte.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A request to an endpoint, as the exchange needs to know it.
+/// A request that [`exchange`] can send to an endpoint.
 pub(super) trait EndpointRequest {
-    /// Whether it may be run twice.
+    /// Whether the endpoint may run the request twice.
     fn idempotency(&self) -> Idempotency;
 
-    /// The time by which it must be written completely, or is abandoned.
+    /// When the request is abandoned unless it has been written completely.
     fn write_deadline(&self) -> Option<Instant>;
 
-    /// Checks, once a connection is established, that the request may still be written.
-    async fn check_may_begin(&self) -> Result<(), Outcome>;
+    /// Checks that the request may still be written, once a connection is established.
+    async fn check_before_write(&self) -> Result<(), Outcome>;
 
-    /// Builds the request for an endpoint at this address.
+    /// Builds the HTTP request to an endpoint at this address.
     fn build(&self, address: SocketAddr) -> http::Result<Request<Full<Bytes>>>;
 }
 
 /// Sends a request to an endpoint and returns the response once the connection is closed or idle again.
 ///
-/// It is written once. Dropping the future closes the connection.
+/// Writes the request at most once. Dropping the future closes the connection.
 ///
 /// # Errors
-/// When there is no response that can be used. The outcome shows whether the request may have run.
+/// If there is no valid response. The outcome shows whether the endpoint may have run the request.
 pub(super) async fn exchange(
     endpoints: &EndpointRegistry, endpoint: &Name, request: &impl EndpointRequest,
 ) -> Result<Response<Bytes>, Outcome> {
     loop {
         let mut acquired = acquire(endpoints, endpoint, request.idempotency()).await?;
-        request.check_may_begin().await?;
-        // While the connection was established the endpoint may have been listed as draining, removed or
-        // moved.
+        request.check_before_write().await?;
+        // While the connection was established, an endpoint list may have marked the endpoint as draining,
+        // removed it or moved it to another address.
         if endpoints.ready_address(endpoint) != Some(acquired.address) {
             return Err(Outcome::NotSent);
         }
         let message = request.build(acquired.address).map_err(|_| Outcome::NotSent)?;
         let limits = exchange_limits(request.write_deadline());
         let result = acquired.connection.exchange(message, limits).await;
-        endpoints.connections().record_exchange(acquired.idle, exchange_result(&result));
+        endpoints.connections().record_exchange(acquired.idle_time, connection_outcome(&result));
         match result {
             Ok(response) => {
-                endpoints.record_response(endpoint, acquired).await;
+                endpoints.release_after_response(endpoint, acquired).await;
                 return Ok(response);
             }
-            // The endpoint closed the idle connection just now. Nothing was written, so another connection is
-            // no second attempt, and the endpoint is not to blame.
-            Err(ExchangeError::NotSent) if acquired.idle.is_some() => {}
-            Err(error) => return Err(outcome_of(error)),
+            // The endpoint closed the idle connection just before the write. As nothing was written, using
+            // another connection is not a second attempt, and this is no failure of the endpoint.
+            Err(ExchangeError::NotSent) if acquired.idle_time.is_some() => {}
+            Err(error) => return Err(attempt_outcome(error)),
         }
     }
 }
@@ -83,21 +84,21 @@
     ExchangeLimits { max_body_bytes: MAX_BODY_BYTES, response_timeout: RESPONSE_TIMEOUT, write_deadline }
 }
 
-/// Classifies the end of an exchange for the estimate of stale connections.
-fn exchange_result<T>(result: &Result<T, ExchangeError>) -> ExchangeResult {
+/// Classifies the end of an exchange for the estimator of stale connections.
+fn connection_outcome<T>(result: &Result<T, ExchangeError>) -> ConnectionOutcome {
     match result {
-        Err(ExchangeError::NoResponse | ExchangeError::PartiallySent) => ExchangeResult::ConnectionBroke,
-        Ok(_) | Err(ExchangeError::NotSent | ExchangeError::InvalidResponse) => ExchangeResult::Other,
+        Err(ExchangeError::NoResponse | ExchangeError::PartiallySent) => ConnectionOutcome::Broken,
+        Ok(_) | Err(ExchangeError::NotSent | ExchangeError::InvalidResponse) => ConnectionOutcome::Other,
     }
 }
 
-/// What a failed exchange means for the attempt.
-fn outcome_of(error: ExchangeError) -> Outcome {
+/// The outcome of an attempt whose exchange failed.
+fn attempt_outcome(error: ExchangeError) -> Outcome {
     match error {
         ExchangeError::NotSent | ExchangeError::PartiallySent => Outcome::ConnectFailed,
         ExchangeError::NoResponse => Outcome::ConnectionReset,
-        // The endpoint is alive and may have run the request. It counts as an error response, so that a fault
-        // common to all endpoints does not eject all of them.
+        // The endpoint is alive and may have run the request. This counts as an error response, so that a
+        // fault that all endpoints have in common does not eject all of them.
         ExchangeError::InvalidResponse => Outcome::Error,
     }
 }
--- a/gateway/src/endpoint/health_check.rs
+++ b/gateway/src/endpoint/health_check.rs
@@ -1,5 +1,4 @@
-//! Health checks: a request to an endpoint for its load report or, where there are no reports, for its
-//! liveness.
+//! Health checks: requests for an endpoint's load report or, where endpoints have none, for its liveness.
 
 use crate::endpoint::exchange::{EndpointRequest, exchange};
 use crate::endpoint::load_report;
@@ -14,12 +13,11 @@
 use std::net::SocketAddr;
 use tokio::time::{Instant, timeout};
 
-/// How a health check ended.
+/// The result of a health check.
 #[derive(Debug)]
 pub(crate) struct HealthCheckResult {
-    /// How it ended.
     pub(crate) outcome: Outcome,
-    /// The load report in the response's body.
+    /// The load report in the response body.
     pub(crate) load_report: Option<LoadReport>,
 }
 
@@ -29,15 +27,15 @@
     }
 }
 
-/// Checks an endpoint's health; this may take as long as a new connection may.
+/// Checks an endpoint's health, within the connect timeout.
 pub(crate) async fn check_health(endpoints: &EndpointRegistry, endpoint: &Name) -> HealthCheckResult {
     let path = match endpoints.load_report_source() {
         LoadReportSource::None => LIVENESS_PATH,
         LoadReportSource::Responses | LoadReportSource::HealthChecks => LOAD_REPORT_PATH,
     };
     let request = HealthCheckRequest { path };
-    let time_limit = endpoints.connections().connect_timeout();
-    match timeout(time_limit, exchange(endpoints, endpoint, &request)).await {
+    let check_timeout = endpoints.connections().connect_timeout();
+    match timeout(check_timeout, exchange(endpoints, endpoint, &request)).await {
         Ok(Ok(response)) if response.status() == StatusCode::OK => {
             let load_report = std::str::from_utf8(response.body()).ok().and_then(load_report::parse);
             HealthCheckResult { outcome: Outcome::Served, load_report }
@@ -62,7 +60,7 @@
         None
     }
 
-    async fn check_may_begin(&self) -> Result<(), Outcome> {
+    async fn check_before_write(&self) -> Result<(), Outcome> {
         Ok(())
     }
 
--- a/gateway/src/endpoint/mod.rs
+++ b/gateway/src/endpoint/mod.rs
@@ -1,10 +1,10 @@
 //! Endpoints: their addresses, the connections to them, forwarded attempts and health checks.
 //!
-//! In reading order: `settings` configures them; `registry` has each endpoint's address and readiness by the
-//! endpoint list; `connections` provides connections: idle ones from the [`pool`] where `stale_connections`
-//! allows their reuse, new ones within the `connection_limit`; `exchange` sends one request on one of them;
-//! `attempt` and `health_check` run an exchange and classify how it ended; `load_report` reads the endpoint's
-//! load.
+//! In reading order: `settings` configures the connections; `registry` holds each endpoint's address and
+//! readiness from the endpoint list; `connections` acquires connections, idle ones from the [`pool`] where
+//! `stale_connections` allows their reuse and new ones within the `connection_limit`; `exchange` sends one
+//! request on an acquired connection; `attempt` and `health_check` run an exchange and classify its result;
+//! `load_report` parses the load that endpoints report.
 
 mod attempt;
 mod connection_limit;
--- a/gateway/src/endpoint/pool.rs
+++ b/gateway/src/endpoint/pool.rs
@@ -1,14 +1,14 @@
-//! Idle connections by endpoint. Memory and time are proportional to the idle connections, not to the
-//! endpoints.
+//! The pool of idle connections, by endpoint. Its memory and time are proportional to the number of idle
+//! connections, not to the number of endpoints.
 
 use rustc_hash::FxHashMap;
 use ryefront_policy::Name;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Idle connections to endpoints, of any type.
+/// The idle connections to endpoints. Generic over the type of a connection.
 pub struct Pool<T> {
-    /// The connections to each endpoint, in the order in which they became idle. No list is empty.
+    /// The connections to each endpoint, in the order in which they were added. No list is empty.
     by_endpoint: FxHashMap<Name, Vec<IdleConnection<T>>>,
     count: usize,
 }
@@ -54,12 +54,12 @@
         self.remove(endpoint, index)
     }
 
-    /// Drops all connections to an endpoint.
+    /// Removes and drops all connections to an endpoint.
     pub fn remove_endpoint(&mut self, endpoint: &Name) {
         self.count -= self.by_endpoint.remove(endpoint).map_or(0, |connections| connections.len());
     }
 
-    /// Drops the oldest connection of the endpoint that has the most, if there are any.
+    /// Drops the connection that was added first to the endpoint with the most connections, if there are any.
     pub fn evict(&mut self) {
         let fullest = self.by_endpoint.iter().max_by_key(|(_, connections)| connections.len());
         if let Some(endpoint) = fullest.map(|(endpoint, _)| endpoint.clone()) {
--- a/gateway/src/endpoint/registry.rs
+++ b/gateway/src/endpoint/registry.rs
@@ -1,4 +1,4 @@
-//! The endpoints in the endpoint list: their addresses and readiness.
+//! The registry of the endpoints in the endpoint list: their addresses and readiness.
 
 use crate::discovery::{EndpointList, ListedEndpoint};
 use crate::endpoint::connections::{AcquiredConnection, EndpointConnections};
@@ -11,24 +11,24 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How often idle connections are checked.
+/// The interval between checks of the idle connections.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// One endpoint.
+/// The state of one endpoint.
 struct Endpoint {
     address: SocketAddr,
     is_ready: bool,
-    /// When it last sent a response; at first, when it was listed.
+    /// When the endpoint last responded; before its first response, when it was first listed.
     last_response_at: Instant,
-    /// The number of the last applied list with an entry for it.
-    listed_in: u64,
+    /// The number of the last applied list that contains the endpoint.
+    last_list_number: u64,
 }
 
 /// All endpoints in the endpoint list, and the connections to them.
 pub struct EndpointRegistry {
     endpoints: RefCell<FxHashMap<Name, Endpoint>>,
-    /// The number of endpoint lists applied.
-    applied_lists: Cell<u64>,
+    /// The number of endpoint lists that were applied.
+    applied_list_count: Cell<u64>,
     connections: EndpointConnections,
     load_report_source: LoadReportSource,
 }
@@ -38,18 +38,18 @@
     pub fn new(settings: EndpointSettings) -> Rc<Self> {
         Rc::new(Self {
             endpoints: RefCell::default(),
-            applied_lists: Cell::default(),
+            applied_list_count: Cell::default(),
             connections: EndpointConnections::new(settings),
             load_report_source: settings.load_report_source,
         })
     }
 
-    /// Applies an endpoint list. A delta takes time proportional to its length, a snapshot also to the number
-    /// of endpoints known before. Idle connections to endpoints that are draining or removed or
-    /// have moved to another address are closed.
+    /// Applies an endpoint list, and closes the idle connections to endpoints that are draining, were removed
+    /// or have moved to another address. A delta takes time proportional to its length; a snapshot also takes
+    /// time proportional to the number of endpoints in the registry.
     pub fn apply(&self, list: &EndpointList) {
-        let list_number = self.applied_lists.get() + 1;
-        self.applied_lists.set(list_number);
+        let list_number = self.applied_list_count.get() + 1;
+        self.applied_list_count.set(list_number);
         let now = Instant::now();
         let mut endpoints = self.endpoints.borrow_mut();
         if list.is_snapshot {
@@ -80,19 +80,19 @@
             address,
             is_ready,
             last_response_at: now,
-            listed_in: list_number,
+            last_list_number: list_number,
         });
         if !is_ready || endpoint.address != address {
             self.connections.close_idle(name);
         }
         endpoint.is_ready = is_ready;
         endpoint.address = address;
-        endpoint.listed_in = list_number;
+        endpoint.last_list_number = list_number;
     }
 
     fn remove_unlisted(&self, endpoints: &mut FxHashMap<Name, Endpoint>, list_number: u64) {
         endpoints.retain(|name, endpoint| {
-            let is_listed = endpoint.listed_in == list_number;
+            let is_listed = endpoint.last_list_number == list_number;
             if !is_listed {
                 self.connections.close_idle(name);
             }
@@ -105,19 +105,17 @@
         self.endpoints.borrow().get(endpoint).filter(|known| known.is_ready).map(|known| known.address)
     }
 
-    /// Where load reports come from.
     pub(super) fn load_report_source(&self) -> LoadReportSource {
         self.load_report_source
     }
 
-    /// The connections to the endpoints.
     pub(super) fn connections(&self) -> &EndpointConnections {
         &self.connections
     }
 
-    /// Records that an endpoint sent a response, and keeps the connection for reuse if it can carry another
-    /// request and the endpoint may be sent one.
-    pub(super) async fn record_response(&self, endpoint: &Name, mut acquired: AcquiredConnection) {
+    /// Records that an endpoint responded, and keeps the connection for reuse if it can carry another request
+    /// and the endpoint is ready.
+    pub(super) async fn release_after_response(&self, endpoint: &Name, mut acquired: AcquiredConnection) {
         let is_reusable = acquired.connection.is_reusable().await;
         let mut endpoints = self.endpoints.borrow_mut();
         let known = endpoints.get_mut(endpoint).filter(|known| known.address == acquired.address);
@@ -128,20 +126,20 @@
         }
     }
 
-    /// Closes the idle connections to an endpoint that has sent no response since an attempt began which
-    /// timed out.
+    /// Records that an attempt timed out: closes the idle connections to the endpoint if it has not responded
+    /// to any request since the attempt began.
     ///
-    /// A machine that vanishes leaves its connections open: each would cost another request a timeout, while
-    /// a new connection fails quickly and before the request is written. An endpoint with a response since is
-    /// merely slow.
-    pub(super) fn record_timeout(&self, endpoint: &Name, attempt_began: Instant) {
+    /// A host that fails without closing its connections leaves them open, and each would cost another
+    /// request a timeout. A new connection fails quickly instead, and before the request is written. An
+    /// endpoint that has responded since is merely slow.
+    pub(super) fn record_timeout(&self, endpoint: &Name, attempt_started_at: Instant) {
         let endpoints = self.endpoints.borrow();
-        if endpoints.get(endpoint).is_some_and(|known| known.last_response_at < attempt_began) {
+        if endpoints.get(endpoint).is_some_and(|known| known.last_response_at < attempt_started_at) {
             self.connections.close_idle(endpoint);
         }
     }
 
-    /// Closes idle connections that have expired or that their endpoint has closed, at an interval. Never
+    /// Closes idle connections that have expired or that their endpoint has closed, every second. Never
     /// returns.
     pub async fn maintain_connections(self: Rc<Self>) {
         loop {
--- a/gateway/src/endpoint/settings.rs
+++ b/gateway/src/endpoint/settings.rs
@@ -1,17 +1,17 @@
-//! How endpoints are connected to.
+//! The settings of the endpoint side.
 
 use ryefront_policy::LoadReportSource;
 use std::time::Duration;
 
-/// How endpoints are connected to, and where their load reports come from.
+/// The timeouts and limits of connections to endpoints, and the source of load reports.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointSettings {
-    /// A connection that takes longer to be established has failed.
+    /// The time after which an attempt to connect fails.
     pub connect_timeout: Duration,
-    /// Endpoints close connections that are idle for this long.
+    /// The time after which endpoints close idle connections.
     pub endpoint_idle_timeout: Duration,
     /// Where load reports come from.
     pub load_report_source: LoadReportSource,
-    /// The most connections to all endpoints together.
+    /// The maximum number of connections, to all endpoints together.
     pub max_connections: usize,
 }
--- a/gateway/src/endpoint/stale_connections.rs
+++ b/gateway/src/endpoint/stale_connections.rs
@@ -1,11 +1,10 @@
-//! Whether an idle connection may be reused, by how often requests on connections of similar idle time
-//! failed.
+//! Decides whether an idle connection may be reused, by the failure rate of connections of similar idle time.
 //!
-//! Endpoints, and whatever lies between, may drop idle connections earlier than configured, and some show it
-//! only when the next request is written: until then the socket looks healthy. The estimator compares how
-//! often requests fail on connections of similar idle time with how often they fail on new connections. New
-//! connections are the baseline because random resets are no reason to reconnect. Endpoints share the
-//! estimate: if a few of many drop connections early, requests to all of them pay for handshakes.
+//! Endpoints and intermediaries may drop idle connections earlier than configured. Some do so without closing
+//! them, and the socket looks healthy until the next request is written. The estimator compares the failure
+//! rate of reused connections of similar idle time with that of new connections, which are the baseline
+//! because random resets are no reason to reconnect. All endpoints share the estimate: if a few of them drop
+//! connections early, requests to the others also need more handshakes.
 
 use ryefront_policy::Idempotency;
 use std::time::Duration;
@@ -16,59 +15,64 @@
 const FIRST_BUCKET_END: Duration = Duration::from_millis(25);
 /// Each further bucket ends at this many times the idle time of the one before.
 const BUCKET_GROWTH: u128 = 4;
-/// The weight of the latest exchange in a failure rate.
+/// The weight of the latest exchange in the moving average of a failure rate.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// By how much the failure rate of reused connections may exceed that of new ones, for idempotent requests.
+/// The excess of the failure rate of reused connections over that of new ones that idempotent requests
+/// tolerate.
 const FAILURE_MARGIN: f64 = 0.05;
-/// The same for non-idempotent requests.
+/// The excess that non-idempotent requests tolerate.
 const FAILURE_MARGIN_NON_IDEMPOTENT: f64 = 0.02;
-/// A bucket's failure rate decays by this fraction whenever it forbids a reuse, so that reuse is tried again.
-const DISTRUST_DECAY: f64 = 0.02;
+/// The fraction by which a bucket's failure rate decays each time it prevents a reuse, so that reuse is
+/// eventually tried again.
+const FAILURE_RATE_DECAY: f64 = 0.02;
 
-/// Failure rates of exchanges: on new connections, and on reused ones by idle time.
+/// The failure rates of exchanges: on new connections, and on reused ones by idle time.
 #[derive(Default)]
-pub(super) struct StaleEstimator {
-    new: f64,
-    reused: [f64; BUCKET_COUNT],
+pub(super) struct StaleConnectionEstimator {
+    new_failure_rate: f64,
+    /// By bucket of idle time.
+    reused_failure_rates: [f64; BUCKET_COUNT],
 }
 
-impl StaleEstimator {
-    /// Records an exchange on a connection that had been idle for this time, or on a new one.
-    pub(super) fn record(&mut self, idle: Option<Duration>, result: ExchangeResult) {
-        let failure = match result {
-            ExchangeResult::ConnectionBroke => 1.0,
-            ExchangeResult::Other => 0.0,
+impl StaleConnectionEstimator {
+    /// Records how an exchange ended on a connection that had been idle for `idle_time`, or on a new one.
+    pub(super) fn record(&mut self, idle_time: Option<Duration>, outcome: ConnectionOutcome) {
+        let failure = match outcome {
+            ConnectionOutcome::Broken => 1.0,
+            ConnectionOutcome::Other => 0.0,
         };
-        let rate = idle.map_or(&mut self.new, |idle| &mut self.reused[bucket(idle)]);
+        let rate = idle_time.map_or(&mut self.new_failure_rate, |idle_time| {
+            &mut self.reused_failure_rates[bucket(idle_time)]
+        });
         *rate += SAMPLE_WEIGHT * (failure - *rate);
     }
 
-    /// Whether a connection that has been idle for this time may carry a request.
-    pub(super) fn allows_reuse(&mut self, idle: Duration, idempotency: Idempotency) -> bool {
+    /// Whether a connection that has been idle for `idle_time` may carry a request of this idempotency.
+    pub(super) fn allows_reuse(&mut self, idle_time: Duration, idempotency: Idempotency) -> bool {
         let margin = match idempotency {
             Idempotency::Idempotent | Idempotency::WithKey => FAILURE_MARGIN,
             Idempotency::NonIdempotent => FAILURE_MARGIN_NON_IDEMPOTENT,
         };
-        let rate = &mut self.reused[bucket(idle)];
-        let is_allowed = *rate <= self.new + margin;
+        let rate = &mut self.reused_failure_rates[bucket(idle_time)];
+        let is_allowed = *rate <= self.new_failure_rate + margin;
         if !is_allowed {
-            *rate *= 1.0 - DISTRUST_DECAY;
+            *rate *= 1.0 - FAILURE_RATE_DECAY;
         }
         is_allowed
     }
 }
 
-/// How an exchange ended, as far as its connection is concerned.
+/// What the end of an exchange shows about its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ExchangeResult {
+pub(super) enum ConnectionOutcome {
     /// The connection broke after part of the request was written and before any byte of a response.
-    ConnectionBroke,
-    /// Anything else.
+    Broken,
+    /// The exchange ended in another way: no sign of a stale connection.
     Other,
 }
 
-/// The bucket of an idle time.
-fn bucket(idle: Duration) -> usize {
-    let multiple = idle.as_millis() / FIRST_BUCKET_END.as_millis();
+/// The index of the bucket of an idle time.
+fn bucket(idle_time: Duration) -> usize {
+    let multiple = idle_time.as_millis() / FIRST_BUCKET_END.as_millis();
     multiple.checked_ilog(BUCKET_GROWTH).map_or(0, |power| (power as usize + 1).min(BUCKET_COUNT - 1))
 }
