--- a/gateway/src/client/connection.rs
+++ b/gateway/src/client/connection.rs
@@ -1,9 +1,9 @@
-//! Serves one client connection until it is closed by the client, a timeout, an eviction or the shutdown.
+//! Serves one client connection until the client, a timeout, an eviction or the shutdown closes it.
 
 use crate::client::connection_state::ConnectionState;
 use crate::client::request_head::MAX_HEAD_BYTES;
 use crate::client::response::HttpResponse;
-use crate::client::shutdown::{CloseSignal, LATE_ARRIVAL_PERIOD};
+use crate::client::shutdown::{CloseSignal, LATE_CONNECTION_PERIOD};
 use crate::instrumented_stream::InstrumentedStream;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -18,23 +18,23 @@
 use std::time::Duration;
 use tokio::time::{timeout, timeout_at};
 
-/// The time in which a request may still arrive on an evicted connection.
+/// How long an evicted connection still accepts a request.
 const EVICTION_GRACE: Duration = Duration::from_millis(50);
 
-/// Why a connection is no longer open for further requests.
+/// Why a connection accepts no further requests.
 enum CloseReason {
-    /// The client or the HTTP library has closed it, or it broke.
+    /// The client or the HTTP library has closed it, or it failed.
     Closed,
-    /// No complete request came in time. Clients that send nothing, or too slowly, would use up the
-    /// connections.
+    /// No complete request arrived in time. Without a timeout, clients that send nothing or send too slowly
+    /// would use up the connections.
     RequestTimeout,
     /// The shutdown has reached the phase that closes this connection.
     Shutdown,
-    /// The connection is idle, and others are waiting for one.
+    /// The connection is idle, and its place is needed for a new one.
     Evicted,
 }
 
-/// Serves one connection with `handle` and returns when it has ended.
+/// Serves one connection, whose requests `handle` responds to. Returns when the connection has ended.
 pub(super) async fn serve<H, R>(state: &Rc<ConnectionState>, mut close_signal: CloseSignal, handle: H)
 where
     H: Fn(Request<Incoming>) -> R,
@@ -46,20 +46,20 @@
     });
     let stream = InstrumentedStream::new(state.socket().clone(), state.clone());
     let http = http1::Builder::new()
-        // `ConnectionState` limits the time for head and body together.
+        // `ConnectionState` has a timeout for head and body together instead.
         .header_read_timeout(None)
         .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     let mut http = pin!(http);
-    match close_reason(http.as_mut(), state, &mut close_signal).await {
+    match serve_until_close(http.as_mut(), state, &mut close_signal).await {
         CloseReason::Closed | CloseReason::RequestTimeout => {}
         CloseReason::Shutdown => close_for_shutdown(http, state).await,
         CloseReason::Evicted => close_evicted(http, state).await,
     }
 }
 
-/// Serves requests until there is a reason to close the connection.
-async fn close_reason(
+/// Serves requests until the connection has ended or is to be closed.
+async fn serve_until_close(
     http: Pin<&mut impl HttpConnection>, state: &ConnectionState, close_signal: &mut CloseSignal,
 ) -> CloseReason {
     tokio::select! {
@@ -71,14 +71,14 @@
     }
 }
 
-/// Closes a connection after the response in progress. An unused one may receive its first request for a
-/// while: clients do not repeat a first request when its connection closes without a response.
+/// Closes a connection after the response in progress. On an unused connection, a first request is awaited
+/// for a while, as clients do not retry a first request whose connection closes without a response.
 async fn close_for_shutdown(mut http: Pin<&mut impl HttpConnection>, state: &ConnectionState) {
-    let first_request_due = state.idle_since() + LATE_ARRIVAL_PERIOD;
-    if state.is_unused() && timeout_at(first_request_due, http.as_mut()).await.is_ok() {
+    let first_request_deadline = state.idle_since() + LATE_CONNECTION_PERIOD;
+    if state.is_unused() && timeout_at(first_request_deadline, http.as_mut()).await.is_ok() {
         return;
     }
-    if !read_what_arrived(http.as_mut(), state).await {
+    if !read_pending_bytes(http.as_mut(), state).await {
         return;
     }
     http.as_mut().graceful_shutdown();
@@ -89,9 +89,9 @@
     }
 }
 
-/// Closes an evicted connection, after the response if a request has arrived on it meanwhile.
+/// Closes an evicted connection; if a request has arrived on it in the meantime, after the response.
 async fn close_evicted(mut http: Pin<&mut impl HttpConnection>, state: &ConnectionState) {
-    if !read_what_arrived(http.as_mut(), state).await {
+    if !read_pending_bytes(http.as_mut(), state).await {
         return;
     }
     http.as_mut().graceful_shutdown();
@@ -101,9 +101,9 @@
     }
 }
 
-/// Reads what has arrived on a connection that is to be closed, as a request in it would be reset. Returns
-/// whether the connection is still open.
-async fn read_what_arrived(http: Pin<&mut impl HttpConnection>, state: &ConnectionState) -> bool {
+/// Reads the bytes that have already arrived on a connection that is to be closed: closing it with unread
+/// bytes would reset it and lose a request among them. Returns whether the connection is still open.
+async fn read_pending_bytes(http: Pin<&mut impl HttpConnection>, state: &ConnectionState) -> bool {
     tokio::select! {
         biased;
         _ = http => false,
@@ -111,7 +111,7 @@
     }
 }
 
-/// The HTTP library's connection, whatever its service: a future that resolves when the connection has ended.
+/// The HTTP library's connection with any service: a future that resolves when the connection has ended.
 trait HttpConnection: Future {
     /// Closes the connection after the response in progress, or at once if there is none.
     fn graceful_shutdown(self: Pin<&mut Self>);
--- a/gateway/src/client/connection_state.rs
+++ b/gateway/src/client/connection_state.rs
@@ -10,17 +10,17 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// The time for a complete request, from the start of the connection, its last response, or the first byte of
-/// its next request. Further bytes do not extend it: clients that send head or body byte by byte are closed
-/// as well.
+/// The time for a complete request, from the latest of the accept, the last response and the first byte of
+/// the request after that response. Further bytes do not extend it, so that connections on which head or body
+/// arrive byte by byte time out as well.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// The state of one client connection.
 pub(super) struct ConnectionState {
     socket: SharedStream,
-    /// A complete request has no response yet.
-    busy: Cell<bool>,
-    /// When it was accepted, had its last response or the first byte of its next request.
+    /// Whether a complete request has no response yet.
+    has_pending_request: Cell<bool>,
+    /// The latest of the accept, the last response and the first byte of the request after that response.
     idle_since: Cell<Instant>,
     responded: Cell<bool>,
     evicted: Cell<bool>,
@@ -32,7 +32,7 @@
     pub(super) fn new(socket: SharedStream) -> Self {
         Self {
             socket,
-            busy: Cell::new(false),
+            has_pending_request: Cell::new(false),
             idle_since: Cell::new(Instant::now()),
             responded: Cell::new(false),
             evicted: Cell::new(false),
@@ -45,27 +45,28 @@
         &self.socket
     }
 
-    /// Whether no complete request waits for its response.
+    /// Whether no complete request is waiting for its response.
     pub(super) fn is_idle(&self) -> bool {
-        !self.busy.get()
+        !self.has_pending_request.get()
     }
 
-    /// When it was accepted, had its last response or the first byte of its next request.
+    /// The latest of the accept, the last response and the first byte of the request after that response.
     pub(super) fn idle_since(&self) -> Instant {
         self.idle_since.get()
     }
 
-    /// Whether it has had a response.
+    /// Whether a response has been sent on the connection.
     pub(super) fn has_responded(&self) -> bool {
         self.responded.get()
     }
 
-    /// Whether nothing has been received on it.
+    /// Whether nothing has been received on the connection.
     pub(super) fn is_unused(&self) -> bool {
         !self.has_responded() && self.is_idle() && self.head.borrow().is_empty()
     }
 
-    /// Resolves once the time for a complete request is over, and what had arrived by then has been read.
+    /// Resolves when no complete request has arrived in time. Bytes that arrived before the timeout are read
+    /// first, as they may complete the request.
     pub(super) async fn request_timed_out(&self) {
         loop {
             self.request_deadline_passed().await;
@@ -87,26 +88,26 @@
         start + REQUEST_TIMEOUT
     }
 
-    /// Records that a request is complete and valid.
+    /// Records that a complete, valid request was received.
     pub(super) fn record_request(&self) {
-        self.busy.set(true);
+        self.has_pending_request.set(true);
     }
 
     /// Records that a response is ready.
     pub(super) fn record_response(&self) {
-        self.busy.set(false);
+        self.has_pending_request.set(false);
         self.responded.set(true);
         self.idle_since.set(Instant::now());
         self.head.take();
     }
 
-    /// Whether the head that was received is that of `request` and has `Transfer-Encoding: chunked` and no
-    /// length.
-    pub(super) fn is_plainly_chunked(&self, request: &Request<Incoming>) -> bool {
-        self.head.borrow().is_plainly_chunked(request)
+    /// Whether the received head is that of `request` and has `Transfer-Encoding: chunked` but no
+    /// `Content-Length`.
+    pub(super) fn is_chunked_without_length(&self, request: &Request<Incoming>) -> bool {
+        self.head.borrow().is_chunked_without_length(request)
     }
 
-    /// Requests that the connection be closed.
+    /// Requests that the connection be closed to make room for another.
     pub(super) fn evict(&self) {
         self.evicted.set(true);
         self.eviction.notify_one();
--- a/gateway/src/client/connection_table.rs
+++ b/gateway/src/client/connection_table.rs
@@ -1,8 +1,8 @@
-//! All client connections, the limit on their number, and the eviction of idle ones.
+//! The open client connections, the limit on their number, and the eviction of idle ones.
 //!
-//! Clients that connect, send one request and keep the connection could use up the connections, and others
-//! would wait in the accept queue. So from half of the limit on, each new connection evicts an idle one.
-//! Clients that send requests on many connections rarely have to reconnect because of it.
+//! Clients that send one request and then keep the connection open could use up the connections, and other
+//! clients would wait in the accept queue. From half of the limit on, each new connection therefore evicts an
+//! idle one. Clients that send requests on many connections rarely have to reconnect because of this.
 
 use crate::client::connection_state::ConnectionState;
 use std::cell::RefCell;
@@ -11,20 +11,20 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Eviction begins at the limit on connections divided by this. Long before the limit: clients and proxies in
-/// front of the gateway have limits on their connections as well.
+/// Eviction begins at the limit on connections divided by this. This is long before the limit, as clients and
+/// proxies in front of the gateway limit their connections as well.
 const EVICTION_THRESHOLD_DIVISOR: usize = 2;
-/// A connection younger than this is new: its first request may be on its way.
+/// A connection without a response is new until this age: its first request may be in transit.
 const NEW_CONNECTION_AGE: Duration = Duration::from_millis(100);
 
-/// The order in which idle connections are evicted, the lowest first.
+/// The order in which idle connections are evicted, lowest rank first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// Open for a while without a complete request.
+    /// No longer new, and has never had a complete request.
     NeverRequested,
-    /// Has had a response, and has no request in progress.
+    /// Has had a response and has no request in progress.
     IdleAfterResponse,
-    /// Accepted just now. Closing it loses its first request, which clients do not send again.
+    /// Just accepted. Closing it may lose its first request, which clients do not retry.
     New,
 }
 
@@ -74,7 +74,7 @@
         self.removed.notified().await;
     }
 
-    /// Waits until one more connection may be accepted, and evicts idle ones for it.
+    /// Waits until one more connection may be accepted, and evicts idle connections to make room for it.
     pub(super) async fn wait_for_capacity(&self) {
         if self.connections.borrow().len() >= self.max_connections / EVICTION_THRESHOLD_DIVISOR {
             self.evict_idle();
@@ -85,16 +85,16 @@
         }
     }
 
-    /// Evicts the idle connection of the lowest rank; among equals the one idle for longest.
+    /// Evicts the idle connection of the lowest rank; among those of the same rank, the one idle for longest.
     fn evict_idle(&self) {
         let connections = self.connections.borrow();
         let now = Instant::now();
-        // New connections are evicted at the limit only: below it the others may all be busy, and the new
-        // ones would be the only candidates.
-        let spares_new = connections.len() < self.max_connections;
+        // New connections are evicted at the limit only: below it, all others may have a request in progress,
+        // and the new ones would be the only candidates.
+        let protects_new = connections.len() < self.max_connections;
         let is_candidate = |connection: &&Rc<ConnectionState>| {
-            let is_spared = spares_new && EvictionRank::of(connection, now) == EvictionRank::New;
-            connection.is_idle() && !connection.is_evicted() && !is_spared
+            let is_protected = protects_new && EvictionRank::of(connection, now) == EvictionRank::New;
+            connection.is_idle() && !connection.is_evicted() && !is_protected
         };
         let candidate = connections
             .iter()
--- a/gateway/src/client/handler.rs
+++ b/gateway/src/client/handler.rs
@@ -22,11 +22,11 @@
     responder: Responder,
     connections: Rc<ConnectionTable>,
     shutdown: Rc<Shutdown>,
-    /// The ids of all requests in progress.
+    /// The IDs of all requests in progress.
     ids_in_progress: RefCell<HashSet<HeaderValue>>,
 }
 
-/// Whether a connection carries further requests after a response.
+/// Whether a connection stays open for further requests after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Persistence {
     KeepAlive,
@@ -52,14 +52,14 @@
         }
     }
 
-    /// Returns the one response to a request.
+    /// Returns the response to a request.
     pub(super) async fn handle(
         &self, request: Request<Incoming>, connection: &ConnectionState,
     ) -> HttpResponse {
         let has_transfer_encoding = request.headers().contains_key(TRANSFER_ENCODING);
         let HandledRequest { mut response, persistence } = self.respond(request, connection).await;
-        // A draining or full gateway closes connections so that clients use another one, or leave capacity to
-        // others.
+        // A draining gateway closes connections so that clients move to another gateway; one at its limit on
+        // connections closes them to make room for other clients.
         if persistence == Persistence::Close
             || has_transfer_encoding
             || self.shutdown.is_draining()
@@ -76,10 +76,10 @@
             let response = response::readiness(request.method(), self.shutdown.is_draining());
             return HandledRequest { response, persistence: Persistence::KeepAlive };
         }
-        let ReceivedRequest { request, id_in_progress: _id_in_progress } =
+        let ReceivedRequest { request, id_reservation: _id_reservation } =
             match self.receive(request, connection).await {
                 Ok(received) => received,
-                // The client may have meant something else by the bytes that follow.
+                // Where the next request begins is not certain after an invalid one.
                 Err(error) => {
                     let response = response::invalid_request(error);
                     return HandledRequest { response, persistence: Persistence::Close };
@@ -95,24 +95,26 @@
         }
     }
 
-    /// Reads and validates a request, and reserves its id.
+    /// Reads and validates a request, and reserves its ID.
     async fn receive(
         &self, request: Request<Incoming>, connection: &ConnectionState,
     ) -> Result<ReceivedRequest<'_>, RequestError> {
-        // Another request could be hidden in the body of this one.
-        if request.headers().contains_key(TRANSFER_ENCODING) && !connection.is_plainly_chunked(&request) {
+        // If the length is ambiguous, another request could be hidden in the body (request smuggling).
+        if request.headers().contains_key(TRANSFER_ENCODING)
+            && !connection.is_chunked_without_length(&request)
+        {
             return Err(RequestError::AmbiguousLength);
         }
         let request = self.parser.parse(request).await?;
-        let id_in_progress = self.reserve_id(request.forwarded.request_id.clone())?;
-        Ok(ReceivedRequest { request, id_in_progress })
+        let id_reservation = self.reserve_id(request.forwarded.request_id.clone())?;
+        Ok(ReceivedRequest { request, id_reservation })
     }
 
-    /// Reserves an id until its request has its final response: a second request with the same id could get the
-    /// response to the first.
-    fn reserve_id(&self, id: HeaderValue) -> Result<IdInProgress<'_>, RequestError> {
+    /// Reserves an ID until its request has its final response: a second request with the same ID could get
+    /// the response to the first.
+    fn reserve_id(&self, id: HeaderValue) -> Result<IdReservation<'_>, RequestError> {
         if self.ids_in_progress.borrow_mut().insert(id.clone()) {
-            Ok(IdInProgress { ids: &self.ids_in_progress, id })
+            Ok(IdReservation { ids: &self.ids_in_progress, id })
         } else {
             Err(RequestError::IdInProgress)
         }
@@ -120,9 +122,10 @@
 
     /// Returns the final response, or `None` once the client has disconnected.
     ///
-    /// The HTTP library does not notice a disconnect behind bytes that the client sent after its request, so
-    /// the socket is watched. It is also checked before the request is submitted: clients that send many
-    /// requests and disconnect at once would delay others until each disconnect is noticed.
+    /// The HTTP library does not detect a disconnect that follows unread bytes after the request, so the
+    /// socket itself is monitored. It is also checked before the request is submitted: otherwise many
+    /// requests of clients that disconnect at once would delay those of others until each disconnect is
+    /// detected.
     async fn respond_while_connected(
         &self, request: ParsedRequest, connection: &ConnectionState,
     ) -> Option<HttpResponse> {
@@ -141,19 +144,19 @@
     }
 }
 
-/// A valid request and the reservation of its id.
+/// A valid request and the reservation of its ID.
 struct ReceivedRequest<'a> {
     request: ParsedRequest,
-    id_in_progress: IdInProgress<'a>,
+    id_reservation: IdReservation<'a>,
 }
 
-/// Keeps an id among those in progress until it is dropped.
-struct IdInProgress<'a> {
+/// Reserves the ID of a request in progress until it is dropped.
+struct IdReservation<'a> {
     ids: &'a RefCell<HashSet<HeaderValue>>,
     id: HeaderValue,
 }
 
-impl Drop for IdInProgress<'_> {
+impl Drop for IdReservation<'_> {
     fn drop(&mut self) {
         self.ids.borrow_mut().remove(&self.id);
     }
--- a/gateway/src/client/mod.rs
+++ b/gateway/src/client/mod.rs
@@ -2,9 +2,9 @@
 //! gracefully.
 //!
 //! In reading order: `server` combines the parts; `listener` accepts connections, and `connection_table`
-//! limits their number and evicts idle ones; `connection` serves one of them, with `connection_state` and
-//! `request_head` for its state; `handler` handles one request, which `request` parses and validates and for
-//! which `response` gets the final response; `shutdown` ends all of it step by step.
+//! limits their number and evicts idle ones; `connection` serves one connection, with its state in
+//! `connection_state` and `request_head`; `handler` handles one request, which `request` parses and validates
+//! and for which `response` gets the final response; `shutdown` runs the phases of the graceful shutdown.
 
 mod connection;
 mod connection_state;
--- a/gateway/src/client/request.rs
+++ b/gateway/src/client/request.rs
@@ -17,11 +17,11 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The longest time to a deadline; larger values are rejected.
+/// The maximum time to a deadline.
 const MAX_DEADLINE_MS: u64 = 600_000;
-/// The longest request id, in bytes.
+/// The maximum length of a request ID, in bytes.
 const MAX_REQUEST_ID_BYTES: usize = 64;
-/// The hexadecimal digits of a tenant.
+/// The number of hexadecimal digits of a tenant.
 const TENANT_DIGITS: usize = 16;
 /// Tenants are numbers below this.
 const TENANT_LIMIT: u64 = 1 << 33;
@@ -31,17 +31,17 @@
 pub(super) enum RequestError {
     /// The path names no request class.
     #[error("no such path, expected a request class as its first segment")]
-    NoPath,
-    /// The settings name no such class.
+    MissingClass,
+    /// The settings have no such class.
     #[error("unknown request class as the first segment of the path, expected one of the settings")]
     UnknownClass,
-    /// The method does not fit class or path.
+    /// The class or the path requires another method.
     #[error("wrong method, expected {expected}")]
     WrongMethod {
-        /// The method that fits.
+        /// The methods that are valid.
         expected: &'static str,
     },
-    /// A header is missing where the class needs it, has an invalid value, or must not be there.
+    /// A required header is missing, a header has an invalid value, or the class does not allow it.
     #[error("invalid {header}, expected {expected}")]
     InvalidHeader {
         /// The header's name.
@@ -49,31 +49,29 @@
         /// What is valid.
         expected: &'static str,
     },
-    /// A header is given several times: endpoints or proxies may use another of its values.
+    /// A header is repeated: endpoints or proxies may use another of its values.
     #[error("{0} is given more than once, expected one value")]
     RepeatedHeader(&'static str),
-    /// Another request with this id has no final response yet.
+    /// Another request with this ID has no final response yet.
     #[error("a request with this {REQUEST_ID} is in progress, expected another id")]
     IdInProgress,
-    /// The end of the body is not certain.
+    /// The length of the body is ambiguous.
     #[error("invalid transfer-encoding, expected chunked alone and no content-length")]
     AmbiguousLength,
-    /// A body where the method has none.
+    /// The method does not allow a body.
     #[error("unexpected body, expected none with GET")]
     UnexpectedBody,
-    /// The body is too large.
     #[error("the body is too large, expected at most {MAX_BODY_BYTES} bytes")]
     BodyTooLarge,
-    /// The body ended early or has invalid chunks.
+    /// The body is incomplete or has invalid chunks.
     #[error("the body cannot be read, expected valid chunks or as many bytes as in content-length")]
     UnreadableBody,
 }
 
 impl RequestError {
-    /// The status of the response.
     pub(super) fn status(self) -> StatusCode {
         match self {
-            Self::NoPath => StatusCode::NOT_FOUND,
+            Self::MissingClass => StatusCode::NOT_FOUND,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             _ => StatusCode::BAD_REQUEST,
         }
@@ -85,15 +83,15 @@
     pub(super) class: Name,
     pub(super) plan: Name,
     pub(super) tenant: Name,
-    pub(super) terms: Terms,
+    pub(super) terms: QuotaTerms,
     pub(super) client_retry: bool,
     pub(super) time_to_deadline: Duration,
     pub(super) forwarded: ForwardedRequest,
 }
 
-/// The units of a request and the gateways that serve its tenant.
+/// The units that a request uses of its tenant's quota, and the gateways that serve the tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Terms {
+pub(super) struct QuotaTerms {
     pub(super) units: f64,
     pub(super) gateways_per_tenant: u32,
     pub(super) first_gateway: u32,
@@ -126,8 +124,7 @@
         }
     }
 
-    /// Validates the head of a request and reads its body. The timeout of the connection limits the time of
-    /// both.
+    /// Validates the head of a request and reads its body. The request timeout of the connection covers both.
     pub(super) async fn parse(&self, request: Request<Incoming>) -> Result<ParsedRequest, RequestError> {
         let (head, body) = request.into_parts();
         let mut parsed = self.parse_head(&head)?;
@@ -142,7 +139,7 @@
     }
 
     fn parse_head(&self, head: &Parts) -> Result<ParsedRequest, RequestError> {
-        let target = head.uri.path_and_query().ok_or(RequestError::NoPath)?;
+        let target = head.uri.path_and_query().ok_or(RequestError::MissingClass)?;
         let headers = &head.headers;
         let class = self.class(target)?;
         let key = idempotency_key(class.idempotency, &head.method, headers)?;
@@ -165,11 +162,11 @@
         })
     }
 
-    /// The class, from the first segment of the path. Names in the settings may need percent-encoding in a
-    /// path.
+    /// Returns the class that the first segment of the path names. The segment is percent-decoded, as names
+    /// in the settings may contain characters that a path must encode.
     fn class(&self, target: &PathAndQuery) -> Result<&ClassRule, RequestError> {
         let segment = target.path().strip_prefix('/').and_then(|path| path.split('/').next());
-        let segment = segment.filter(|segment| !segment.is_empty()).ok_or(RequestError::NoPath)?;
+        let segment = segment.filter(|segment| !segment.is_empty()).ok_or(RequestError::MissingClass)?;
         self.classes
             .iter()
             .find(|class| percent_decode_str(segment).eq(class.name.bytes()))
@@ -178,17 +175,17 @@
 
     fn plan(&self, headers: &HeaderMap) -> Result<Name, RequestError> {
         let invalid = RequestError::InvalidHeader { header: PLAN, expected: "a plan of the settings" };
-        let value = single(headers, PLAN)?.ok_or(invalid)?;
+        let value = single_value(headers, PLAN)?.ok_or(invalid)?;
         let plan = self.plans.iter().find(|plan| plan.as_bytes() == value.as_bytes());
         plan.cloned().ok_or(invalid)
     }
 
-    fn terms(&self, headers: &HeaderMap) -> Result<Terms, RequestError> {
+    fn terms(&self, headers: &HeaderMap) -> Result<QuotaTerms, RequestError> {
         let invalid =
             RequestError::InvalidHeader { header: TERMS, expected: "the form units=2,spread=3,first=1" };
-        let value = text(headers, TERMS, invalid)?.ok_or(invalid)?;
+        let value = single_text(headers, TERMS, invalid)?.ok_or(invalid)?;
         let terms = parse_terms(value).ok_or(invalid)?;
-        if self.are_possible(terms) {
+        if self.are_valid(terms) {
             return Ok(terms);
         }
         Err(RequestError::InvalidHeader {
@@ -197,9 +194,9 @@
         })
     }
 
-    /// Whether a tenant can have such a request. Others would corrupt the usage that is recorded for the
-    /// tenant.
-    fn are_possible(&self, terms: Terms) -> bool {
+    /// Whether the terms are within the limits of the settings. Others would corrupt the recorded usage of
+    /// the tenant.
+    fn are_valid(&self, terms: QuotaTerms) -> bool {
         terms.units > 0.0
             && terms.units <= self.max_units
             && (1..=self.gateway_count).contains(&terms.gateways_per_tenant)
@@ -207,27 +204,27 @@
     }
 }
 
-/// Parses the form `units=2,spread=3,first=1`; without units it is one unit.
-fn parse_terms(value: &str) -> Option<Terms> {
+/// Parses the form `units=2,spread=3,first=1`. The default of `units` is 1.
+fn parse_terms(value: &str) -> Option<QuotaTerms> {
     let mut units = 1.0;
     let mut gateways_per_tenant = None;
     let mut first_gateway = None;
     for pair in value.split(',') {
         match pair.trim().split_once('=')? {
             (TERMS_UNITS, value) => units = value.parse::<f64>().ok()?,
-            (TERMS_GATEWAYS, value) => gateways_per_tenant = Some(number(value)?),
-            (TERMS_FIRST_GATEWAY, value) => first_gateway = Some(number(value)?),
+            (TERMS_GATEWAYS, value) => gateways_per_tenant = Some(parse_digits(value)?),
+            (TERMS_FIRST_GATEWAY, value) => first_gateway = Some(parse_digits(value)?),
             _ => {}
         }
     }
-    Some(Terms { units, gateways_per_tenant: gateways_per_tenant?, first_gateway: first_gateway? })
+    Some(QuotaTerms { units, gateways_per_tenant: gateways_per_tenant?, first_gateway: first_gateway? })
 }
 
-/// The idempotency key, which with the method has to fit the class.
+/// Checks that the method and the idempotency key are valid for the class, and returns the key.
 fn idempotency_key<'a>(
     idempotency: Idempotency, method: &Method, headers: &'a HeaderMap,
 ) -> Result<Option<&'a HeaderValue>, RequestError> {
-    let key = single(headers, IDEMPOTENCY_KEY)?;
+    let key = single_value(headers, IDEMPOTENCY_KEY)?;
     let expected = match idempotency {
         Idempotency::Idempotent => "GET",
         Idempotency::WithKey | Idempotency::NonIdempotent => "POST",
@@ -250,7 +247,7 @@
         header: REQUEST_ID,
         expected: "1 to 64 letters, digits, '-', '_' or '.'",
     };
-    single(headers, REQUEST_ID)?.filter(|id| is_request_id(id.as_bytes())).ok_or(invalid)
+    single_value(headers, REQUEST_ID)?.filter(|id| is_request_id(id.as_bytes())).ok_or(invalid)
 }
 
 fn is_request_id(bytes: &[u8]) -> bool {
@@ -258,13 +255,14 @@
         && bytes.iter().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(b))
 }
 
-/// The tenant in lower case: a tenant that could change the case of its digits would have several quotas.
+/// Returns the tenant in lower case. Otherwise a client could multiply the quota by changing the case of
+/// digits.
 fn tenant(headers: &HeaderMap) -> Result<Name, RequestError> {
     let invalid = RequestError::InvalidHeader {
         header: TENANT,
         expected: "16 hexadecimal digits of a number below 2^33",
     };
-    let value = text(headers, TENANT, invalid)?.ok_or(invalid)?;
+    let value = single_text(headers, TENANT, invalid)?.ok_or(invalid)?;
     let is_valid = value.len() == TENANT_DIGITS
         && value.bytes().all(|b| b.is_ascii_hexdigit())
         && u64::from_str_radix(value, 16).is_ok_and(|number| number < TENANT_LIMIT);
@@ -274,35 +272,37 @@
 fn time_to_deadline(headers: &HeaderMap) -> Result<Duration, RequestError> {
     let invalid =
         RequestError::InvalidHeader { header: DEADLINE_MS, expected: "1 to 600000, whole milliseconds" };
-    let millis = text(headers, DEADLINE_MS, invalid)?.and_then(number).ok_or(invalid)?;
+    let millis = single_text(headers, DEADLINE_MS, invalid)?.and_then(parse_digits).ok_or(invalid)?;
     if (1..=MAX_DEADLINE_MS).contains(&millis) { Ok(Duration::from_millis(millis)) } else { Err(invalid) }
 }
 
 fn client_retry(headers: &HeaderMap) -> Result<bool, RequestError> {
     let invalid = RequestError::InvalidHeader { header: CLIENT_RETRY, expected: "0 or 1" };
-    match text(headers, CLIENT_RETRY, invalid)? {
+    match single_text(headers, CLIENT_RETRY, invalid)? {
         None | Some("0") => Ok(false),
         Some("1") => Ok(true),
         Some(_) => Err(invalid),
     }
 }
 
-/// The value of a header that may be given once at most.
-fn single<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a HeaderValue>, RequestError> {
+/// Returns the value of a header that must not be repeated.
+fn single_value<'a>(
+    headers: &'a HeaderMap, name: &'static str,
+) -> Result<Option<&'a HeaderValue>, RequestError> {
     let mut values = headers.get_all(name).iter();
     let value = values.next();
     if values.next().is_some() { Err(RequestError::RepeatedHeader(name)) } else { Ok(value) }
 }
 
-/// The value of such a header as text; `invalid` is the error for other bytes.
-fn text<'a>(
+/// Returns the value of such a header as text, or `invalid` if it has other characters than visible ASCII.
+fn single_text<'a>(
     headers: &'a HeaderMap, name: &'static str, invalid: RequestError,
 ) -> Result<Option<&'a str>, RequestError> {
-    single(headers, name)?.map(|value| value.to_str().map_err(|_| invalid)).transpose()
+    single_value(headers, name)?.map(|value| value.to_str().map_err(|_| invalid)).transpose()
 }
 
-/// A number in digits alone, without sign or space.
-fn number<T: FromStr>(text: &str) -> Option<T> {
+/// Parses a number that consists of digits only, without sign or space.
+fn parse_digits<T: FromStr>(text: &str) -> Option<T> {
     text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
 }
 
--- a/gateway/src/client/request_head.rs
+++ b/gateway/src/client/request_head.rs
@@ -1,18 +1,18 @@
-//! The head of the request that a client is sending, as received.
+//! The raw bytes of the request head that is being received.
 //!
 //! The HTTP library drops a `Content-Length` that follows a `Transfer-Encoding`. A request with both could
-//! hide another in its body from a proxy that uses the length (request smuggling), so the received bytes are
-//! checked.
+//! hide another request in its body from a proxy that uses the length (request smuggling), so the raw bytes
+//! are checked.
 
 use crate::headers::HEAD_END;
 use hyper::Request;
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 
-/// The longest request head that is read.
+/// The maximum size of a request head, in bytes.
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// The bytes of a request head, up to and with the empty line that ends it.
+/// The bytes of a request head, up to and including the empty line that ends it.
 #[derive(Debug, Default)]
 pub(super) struct RequestHead {
     bytes: Vec<u8>,
@@ -27,7 +27,7 @@
         self.bytes.ends_with(HEAD_END)
     }
 
-    /// Appends received bytes as far as they belong to the head.
+    /// Appends those of the received bytes that belong to the head.
     pub(super) fn append(&mut self, received: &[u8]) {
         // The end of the head may be split between two reads.
         let search_from = self.bytes.len().saturating_sub(HEAD_END.len());
@@ -39,9 +39,9 @@
         }
     }
 
-    /// Whether this is the head of `request` and has `Transfer-Encoding: chunked` and no `Content-Length`.
-    pub(super) fn is_plainly_chunked(&self, request: &Request<Incoming>) -> bool {
-        self.belongs_to(request) && !self.has_content_length() && is_chunked_alone(request)
+    /// Whether this is the head of `request` and has `Transfer-Encoding: chunked` but no `Content-Length`.
+    pub(super) fn is_chunked_without_length(&self, request: &Request<Incoming>) -> bool {
+        self.belongs_to(request) && !self.has_content_length() && is_only_chunked(request)
     }
 
     fn belongs_to(&self, request: &Request<Incoming>) -> bool {
@@ -59,7 +59,7 @@
 }
 
 /// Whether `chunked` is the only transfer encoding.
-fn is_chunked_alone(request: &Request<Incoming>) -> bool {
+fn is_only_chunked(request: &Request<Incoming>) -> bool {
     let mut encodings = request.headers().get_all(TRANSFER_ENCODING).iter();
     encodings.next().is_some_and(|e| e.as_bytes().eq_ignore_ascii_case(b"chunked"))
         && encodings.next().is_none()
--- a/gateway/src/client/response.rs
+++ b/gateway/src/client/response.rs
@@ -1,4 +1,4 @@
-//! The responses to clients: submits requests to the engine and turns their final responses into responses.
+//! The HTTP responses to clients: submits requests to the engine and converts their final responses.
 
 use crate::client::request::{ParsedRequest, RequestError};
 use crate::client::shutdown::Shutdown;
@@ -17,21 +17,21 @@
 /// A response with a complete body.
 pub(super) type HttpResponse = Response<Full<Bytes>>;
 
-/// The time between the policy's deadline and the client's, in which the response is written.
+/// The time between the policy's deadline and the client's, for writing the response.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(25);
 /// The margin is at most this fraction of the time to the client's deadline.
 const DEADLINE_MARGIN_FRACTION: f64 = 0.25;
-/// A request without a final response this long after the policy's deadline gets one without the policy.
-const FINAL_RESPONSE_BACKSTOP: Duration = Duration::from_millis(10);
+/// A request that the policy has not ended this long after its deadline is timed out without the policy.
+const FORCED_TIMEOUT_DELAY: Duration = Duration::from_millis(10);
 
 /// The deadlines of one request.
 struct Deadlines {
-    /// The time that the policy has for the final response.
+    /// The time that the policy has to end the request.
     time_for_policy: Duration,
-    /// When the policy's time is over.
+    /// When that time ends.
     policy_deadline: Instant,
-    /// When the final response is given without the policy.
-    backstop: Instant,
+    /// When the request is timed out without the policy.
+    forced_timeout: Instant,
 }
 
 impl Deadlines {
@@ -39,12 +39,12 @@
         let margin = DEADLINE_MARGIN.min(time_to_deadline.mul_f64(DEADLINE_MARGIN_FRACTION));
         let time_for_policy = time_to_deadline - margin;
         let policy_deadline = Instant::now() + time_for_policy;
-        let backstop = policy_deadline + FINAL_RESPONSE_BACKSTOP.min(margin / 2);
-        Self { time_for_policy, policy_deadline, backstop }
+        let forced_timeout = policy_deadline + FORCED_TIMEOUT_DELAY.min(margin / 2);
+        Self { time_for_policy, policy_deadline, forced_timeout }
     }
 }
 
-/// Submits requests to the engine and returns their final responses.
+/// Submits requests to the engine and returns their responses.
 pub(super) struct Responder {
     engine: Rc<Engine>,
     shutdown: Rc<Shutdown>,
@@ -55,14 +55,15 @@
         Self { engine, shutdown }
     }
 
-    /// Submits a request and returns its final response, by its deadline even if the engine has none.
+    /// Submits a request and returns its response by the client's deadline, even if the engine has no final
+    /// response.
     pub(super) async fn respond(&self, request: ParsedRequest, client: SharedStream) -> HttpResponse {
         let deadlines = Deadlines::new(request.time_to_deadline);
         let SubmittedRequest { id, final_response } = self.submit(request, client, &deadlines);
         let guard = DisconnectOnDrop { engine: &self.engine, id };
         let response = tokio::select! {
             biased;
-            response = timeout_at(deadlines.backstop, final_response) => response.ok(),
+            response = timeout_at(deadlines.forced_timeout, final_response) => response.ok(),
             () = self.shutdown.final_responses_due() => None,
         };
         drop(guard);
@@ -93,8 +94,8 @@
     }
 }
 
-/// Reports to the engine that the client has disconnected, if it is dropped before the final response. After it
-/// the engine has no such request and does nothing.
+/// Reports to the engine that the client has disconnected, if it is dropped before the final response. After
+/// the final response this has no effect, as the engine no longer has the request.
 struct DisconnectOnDrop<'a> {
     engine: &'a Engine,
     id: RequestId,
@@ -120,7 +121,7 @@
 }
 
 fn rejected(retry_after: Millis) -> HttpResponse {
-    let mut response = text(StatusCode::TOO_MANY_REQUESTS, "rejected, retry later");
+    let mut response = text_response(StatusCode::TOO_MANY_REQUESTS, "rejected, retry later");
     let seconds = format!("{:.3}", retry_after / 1000.0);
     if retry_after > 0.0
         && let Ok(seconds) = HeaderValue::from_str(&seconds)
@@ -131,34 +132,36 @@
 }
 
 fn failed() -> HttpResponse {
-    text(StatusCode::BAD_GATEWAY, "failed")
+    text_response(StatusCode::BAD_GATEWAY, "failed")
 }
 
 fn timed_out() -> HttpResponse {
-    text(StatusCode::GATEWAY_TIMEOUT, "no response in time")
+    text_response(StatusCode::GATEWAY_TIMEOUT, "no response in time")
 }
 
 /// The response to a readiness check: whether new clients should use this gateway.
 pub(super) fn readiness(method: &Method, is_draining: bool) -> HttpResponse {
     match *method {
-        Method::GET | Method::HEAD if is_draining => text(StatusCode::SERVICE_UNAVAILABLE, "draining"),
-        Method::GET | Method::HEAD => text(StatusCode::OK, "up"),
+        Method::GET | Method::HEAD if is_draining => {
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "draining")
+        }
+        Method::GET | Method::HEAD => text_response(StatusCode::OK, "up"),
         _ => invalid_request(RequestError::WrongMethod { expected: "GET or HEAD" }),
     }
 }
 
-/// The response to a request that is not valid.
+/// The response to an invalid request.
 pub(super) fn invalid_request(error: RequestError) -> HttpResponse {
-    text(error.status(), &error.to_string())
+    text_response(error.status(), &error.to_string())
 }
 
-/// The response when the client has disconnected. Only clients that have closed
-/// no more than their sending side receive it.
+/// The response when the client has disconnected. Clients receive it only if they have closed just their
+/// sending side.
 pub(super) fn client_disconnected() -> HttpResponse {
-    text(StatusCode::BAD_REQUEST, "the client disconnected before its final answer")
+    text_response(StatusCode::BAD_REQUEST, "the client disconnected before its final answer")
 }
 
-fn text(status: StatusCode, line: &str) -> HttpResponse {
+fn text_response(status: StatusCode, line: &str) -> HttpResponse {
     let mut response = Response::new(Full::from(format!("{line}\n")));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
--- a/gateway/src/client/server.rs
+++ b/gateway/src/client/server.rs
@@ -1,4 +1,4 @@
-//! Combines listener, connections, request handler and shutdown into the client side of one gateway.
+//! The server for clients: combines the listener, the connections, the request handler and the shutdown.
 
 use crate::client::connection;
 use crate::client::connection_state::ConnectionState;
@@ -23,7 +23,7 @@
 }
 
 impl Server {
-    /// A server that holds at most `max_connections` client connections at once.
+    /// Creates a server with at most `max_connections` client connections at a time.
     pub fn new(engine: Rc<Engine>, settings: &Settings, max_connections: usize) -> Rc<Self> {
         let connections = Rc::new(ConnectionTable::new(max_connections));
         let shutdown = Rc::new(Shutdown::new());
@@ -31,17 +31,17 @@
         Rc::new(Self { engine, handler, connections, shutdown })
     }
 
-    /// Serves clients until `terminated` resolves, then shuts down gracefully. Returns once the last
-    /// connection has ended or the time for it is over.
+    /// Serves clients until `terminated` resolves, then shuts down gracefully. Returns when the last
+    /// connection has ended or has timed out.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, terminated: impl Future<Output = ()>) {
         let listener = ClientListener::new(listener, self.connections.clone());
-        let mut accepting_ends = pin!(async {
+        let mut stop_accepting = pin!(async {
             terminated.await;
             self.shutdown.drain_while_accepting(&self.engine).await;
         });
         loop {
             tokio::select! {
-                () = accepting_ends.as_mut() => break,
+                () = stop_accepting.as_mut() => break,
                 stream = listener.accept() => self.serve_connection(stream),
             }
         }
--- a/gateway/src/client/shutdown.rs
+++ b/gateway/src/client/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown, step by step: see [`ShutdownPhase`].
+//! Graceful shutdown, in the order of [`ShutdownPhase`].
 //!
 //! The process may be killed 3.7 s after SIGTERM. Until then every request that was accepted gets its final
 //! response, and clients stop using their connections.
@@ -11,32 +11,31 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How long after SIGTERM new connections may still arrive.
-pub(super) const LATE_ARRIVAL_PERIOD: Duration = Duration::from_millis(500);
-/// The time for returning leases to the quotas, before the accept queue is drained.
+/// How long after SIGTERM clients may still open connections.
+pub(super) const LATE_CONNECTION_PERIOD: Duration = Duration::from_millis(500);
+/// The time for returning the units of leases to the quotas, before the accept queue is drained.
 const LEASE_RETURN_TIME: Duration = Duration::from_millis(200);
-/// An accept queue that cannot be read is abandoned after this.
+/// How long accepting from the queue is retried while it fails.
 const ACCEPT_QUEUE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Requests without a response get a final response this long after SIGTERM: just before the process may be
-/// killed.
-const FINAL_RESPONSES_AFTER: Duration = Duration::from_millis(3500);
-/// Connections are abandoned this long after the last final response, as clients may stop reading or sending
-/// half-way.
+/// How long after SIGTERM the remaining requests are timed out: just before the process may be killed.
+const FINAL_RESPONSES_DELAY: Duration = Duration::from_millis(3500);
+/// How long after the last final response the remaining connections are abandoned, as clients may stop
+/// reading a response or sending a request halfway.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often the end of the last requests is checked while connections close.
+/// The interval between checks for requests in progress while connections close.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The phases of serving and shutdown, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ShutdownPhase {
-    /// Accepts and serves.
+    /// Connections are accepted and requests served.
     Serving,
-    /// Readiness fails, and each response closes its connection; new connections are still accepted.
+    /// Readiness checks fail, and each response closes its connection. New connections are still accepted.
     NotReady,
-    /// The connections from the phases before are closed when idle. A client whose request crosses the close
-    /// sends it again on a new connection, so these are still accepted.
+    /// Connections from earlier phases are closed when idle. A client whose request is in transit when its
+    /// connection is closed retries it on a new connection, so new connections are still accepted.
     ClosingIdleConnections,
-    /// Leased units are returned to the quotas; new connections are still accepted.
+    /// Leased units are returned to the quotas. New connections are still accepted.
     ReturningLeases,
     /// The connections in the accept queue are accepted, and the listener is closed.
     DrainingAcceptQueue,
@@ -44,14 +43,14 @@
     ClosingAllConnections,
 }
 
-/// Which connections the shutdown closes, in order.
+/// The rounds in which the shutdown closes connections, in order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum CloseRound {
-    /// None yet.
+    /// No connection is closed yet.
     NotClosing,
-    /// Those opened before this round.
+    /// Connections opened before this round are closed.
     OpenedBefore,
-    /// All that are left.
+    /// All remaining connections are closed.
     All,
 }
 
@@ -67,7 +66,7 @@
     }
 }
 
-/// Signals to one connection that the shutdown closes it.
+/// Signals to one connection that the shutdown is to close it.
 pub(super) struct CloseSignal {
     phase: watch::Receiver<ShutdownPhase>,
     round_at_open: CloseRound,
@@ -78,8 +77,8 @@
     pub(super) async fn received(&mut self) {
         let round_at_open = self.round_at_open;
         let closes = |phase: &ShutdownPhase| phase.close_round() > round_at_open;
-        // Dropped at once: the value locks the channel, and a phase change on this thread would wait for it
-        // forever.
+        // The returned guard locks the channel. If it were kept, a phase change on this thread would
+        // deadlock.
         drop(self.phase.wait_for(closes).await);
     }
 }
@@ -87,7 +86,7 @@
 /// The shutdown of the client side.
 pub(super) struct Shutdown {
     phase: watch::Sender<ShutdownPhase>,
-    /// From SIGTERM on: when requests without a response get a final response.
+    /// When the remaining requests are timed out; `None` before SIGTERM.
     final_responses_at: watch::Sender<Option<Instant>>,
 }
 
@@ -111,7 +110,7 @@
         CloseSignal { phase, round_at_open }
     }
 
-    /// Resolves when requests without a response get a final response, as the process may be killed.
+    /// Resolves when the remaining requests are to be timed out, as the process may be killed soon.
     pub(super) async fn final_responses_due(&self) {
         let mut final_responses_at = self.final_responses_at.subscribe();
         let at = final_responses_at.wait_for(Option::is_some).await.map(|at| *at);
@@ -121,15 +120,15 @@
         }
     }
 
-    /// The phases in which new connections are accepted: fails readiness, waits for late connections, closes
-    /// idle connections, and returns the leases. Runs beside the listener.
+    /// Runs the phases in which new connections are still accepted: fails readiness checks, waits for late
+    /// connections, closes idle connections, and returns the leases. Runs concurrently with the listener.
     pub(super) async fn drain_while_accepting(&self, engine: &Engine) {
-        self.final_responses_at.send_replace(Some(Instant::now() + FINAL_RESPONSES_AFTER));
+        self.final_responses_at.send_replace(Some(Instant::now() + FINAL_RESPONSES_DELAY));
         self.enter(ShutdownPhase::NotReady);
-        sleep(LATE_ARRIVAL_PERIOD / 2).await;
+        sleep(LATE_CONNECTION_PERIOD / 2).await;
 
         self.enter(ShutdownPhase::ClosingIdleConnections);
-        sleep(LATE_ARRIVAL_PERIOD / 2).await;
+        sleep(LATE_CONNECTION_PERIOD / 2).await;
 
         self.enter(ShutdownPhase::ReturningLeases);
         engine.return_leases(LEASE_RETURN_TIME).await;
@@ -141,15 +140,15 @@
         listener.drain_accept_queue(ACCEPT_QUEUE_TIMEOUT, serve).await;
     }
 
-    /// Closes all connections once they are idle. Returns when they are closed, or some time after the last
-    /// final response.
+    /// Closes all connections once they are idle. Returns when they are closed, or [`CLOSE_TIMEOUT`] after
+    /// the last final response.
     pub(super) async fn close_all_connections(&self, engine: &Engine, connections: &ConnectionTable) {
         self.enter(ShutdownPhase::ClosingAllConnections);
-        let mut idle_since = Instant::now();
-        while !connections.is_empty() && idle_since.elapsed() < CLOSE_TIMEOUT {
+        let mut last_in_progress_at = Instant::now();
+        while !connections.is_empty() && last_in_progress_at.elapsed() < CLOSE_TIMEOUT {
             let _ = timeout(CLOSE_CHECK_INTERVAL, connections.removed()).await;
             if engine.requests_in_progress() > 0 {
-                idle_since = Instant::now();
+                last_in_progress_at = Instant::now();
             }
         }
     }
