--- a/fleet/src/report/result.rs
+++ b/fleet/src/report/result.rs
@@ -135,7 +135,7 @@
 /// Attempts that all gateways together sent to endpoints in slow start, relative to the budget within an
 /// overload window: N + 2 sqrt(N) + 2, where N is the overload factor times the attempts that the endpoint's
 /// present capacity serves within the window. The budget is larger than N because random arrivals alone
-/// exceed N at times.
+/// occasionally exceed N.
 #[derive(Clone, Debug, Serialize)]
 pub struct SlowStartLoad {
     /// Number of endpoints that started during the simulation.
--- a/fleet/src/requests.rs
+++ b/fleet/src/requests.rs
@@ -18,7 +18,7 @@
     },
     Rejected {
         retry_after: Millis,
-        /// The reason as far as the type of the event determines it; `record_rejected` refines it.
+        /// The reason that the type of the event implies; `record_rejected` refines it.
         reason: RejectionReason,
     },
     Failed,
--- a/fleet/src/simulation.rs
+++ b/fleet/src/simulation.rs
@@ -39,7 +39,7 @@
     discovery: Discovery,
     network: Network,
     requests: Requests<'a>,
-    /// The reason for a rejection, as far as the type of the current event determines it.
+    /// The reason for a rejection that the type of the current event implies.
     rejection_reason: RejectionReason,
     /// Draws from [`Stream::Service`].
     service_random: Random,
--- a/gateway/src/fleet_clock.rs
+++ b/gateway/src/fleet_clock.rs
@@ -37,7 +37,7 @@
         self.fleet.borrow().is_shared()
     }
 
-    /// Returns the fleet's time as far as it is known.
+    /// Returns the state of the fleet's clock.
     pub(crate) fn time(&self) -> FleetTime {
         self.fleet.borrow().time()
     }
--- a/policy/src/engine.rs
+++ b/policy/src/engine.rs
@@ -24,7 +24,7 @@
     retry, retry_after,
 };
 
-/// The interval of the maintenance timer, chosen to be short compared with any latency objective.
+/// The interval of the maintenance timer. It is short compared with any latency objective.
 const MAINTENANCE_INTERVAL: Millis = 25.0;
 /// The token of the maintenance timer. The token of a request's timer is twice the request ID, so the two
 /// never collide.
@@ -102,7 +102,7 @@
             Event::Timer { token: MAINTENANCE_TOKEN } => self.on_maintenance(actions),
             Event::Timer { token } => self.on_request_timer(token / 2, actions),
             Event::FleetClock { time } => self.quota.update_fleet_time(time, self.now),
-            Event::CountsLost => self.quota.lose_counts(self.now),
+            Event::CountsLost => self.quota.on_counts_lost(self.now),
             Event::ProcessResumed => self.quota.resume(self.now),
             Event::DrainStarted => self.quota.start_drain(),
             Event::CounterReply { key, result, latency } => {
--- a/policy/src/event.rs
+++ b/policy/src/event.rs
@@ -54,7 +54,7 @@
         /// The duration of the call.
         latency: Millis,
     },
-    /// The state of the fleet's shared clock changed. The host's own clock is used until the first
+    /// The state of the fleet's shared clock changed. The host's local clock is used until the first
     /// such event.
     FleetClock {
         /// The new state.
@@ -198,7 +198,7 @@
     /// The host waits for the first reply from the counter. Until it arrives, the policy makes no counter
     /// calls.
     Pending,
-    /// The counter has not replied, and the host no longer waits for it. The host's own clock is used.
+    /// The counter has not replied, and the host no longer waits for it. The host's local clock is used.
     Unavailable,
     /// The fleet's clock differs from the host's own. Its offset is not yet known accurately enough to derive
     /// counter keys from it.
--- a/policy/src/fleet_clock.rs
+++ b/policy/src/fleet_clock.rs
@@ -10,7 +10,7 @@
 //!
 //! A gateway that starts and finds the register empty is the first of its fleet only if no gateway has been
 //! present for a minute (module `presence`). Otherwise it waits for the register to be written again:
-//! `RENEWAL_WAIT` if its own clock may agree with the fleet's, `RECOVERY_WAIT` if it certainly does not.
+//! `RENEWAL_WAIT` if its local clock may agree with the fleet's, `RECOVERY_WAIT` if it certainly does not.
 //!
 //! The state machine does no I/O: the host makes the calls that [`FleetClock::poll`] returns, reports how
 //! they ended, and passes [`FleetClock::time`] to its engine with
@@ -48,7 +48,7 @@
 /// A gateway that starts while the register has expired waits this long for it to be written again: somewhat
 /// longer than a running fleet takes.
 const RENEWAL_WAIT: Millis = 250.0;
-/// As [`RENEWAL_WAIT`], for a gateway whose own clock certainly differs from the fleet's.
+/// As [`RENEWAL_WAIT`], for a gateway whose local clock certainly differs from the fleet's.
 const RECOVERY_WAIT: Millis = 2000.0;
 /// A smaller change of the offset is not reported.
 const MIN_REPORTED_ADJUSTMENT: Millis = 50.0;
@@ -56,8 +56,8 @@
 /// The wait of a gateway that has started, for a running fleet to write its expired register again.
 #[derive(Clone, Copy, Debug)]
 struct RegisterWait {
-    /// Whether this gateway's own time certainly differs from the fleet's.
-    own_time_contradicted: bool,
+    /// Whether this gateway's local time certainly differs from the fleet's.
+    local_clock_contradicted: bool,
     /// When this gateway writes the register itself.
     until: Millis,
 }
@@ -85,7 +85,7 @@
     offset: Millis,
     /// The bounds of the true offset, once the register has been read or written.
     bounds: Option<Bounds>,
-    /// Whether the offset is used: once the bounds were narrow, the gateway's own time was within the first
+    /// Whether the offset is used: once the bounds were narrow, the gateway's local time was within the first
     /// ones, it has written the register, or it has read often enough.
     synchronized: bool,
     /// The time that the register held when it was last read.
@@ -110,7 +110,7 @@
 }
 
 impl FleetClock {
-    /// Returns a clock that knows only its gateway's own time, as of `now`.
+    /// Returns a clock that knows only its gateway's local time, as of `now`.
     pub fn new(gateway_count: u32, seed: u64, now: Millis) -> Self {
         let mut schedule = CallSchedule::new(gateway_count, seed);
         let due = schedule.first_read(now);
@@ -155,7 +155,7 @@
         }
         let is_small = self.schedule.is_small_fleet();
         match self.bounds {
-            None if self.register_wait.is_some_and(|wait| wait.own_time_contradicted || is_small) => {
+            None if self.register_wait.is_some_and(|wait| wait.local_clock_contradicted || is_small) => {
                 FleetTime::Converging
             }
             None if !self.schedule.is_failing() && is_small => FleetTime::Pending,
@@ -271,7 +271,7 @@
                 return self.call_at_once(now, first);
             }
             (None, Some(wait)) if now >= wait.until => {
-                self.use_own_time(if wait.own_time_contradicted {
+                self.use_local_clock(if wait.local_clock_contradicted {
                     ClockChange::Reset
                 } else {
                     ClockChange::Resumed
@@ -303,16 +303,16 @@
         };
         let presence = presence.or(other_presence);
         if presence == Presence::Absent {
-            self.use_own_time(ClockChange::Initialized);
+            self.use_local_clock(ClockChange::Initialized);
             return self.write(now);
         }
-        let own_time_contradicted = presence.contradicts(self.fleet_time(now));
-        let wait = if own_time_contradicted { RECOVERY_WAIT } else { RENEWAL_WAIT };
-        self.register_wait = Some(RegisterWait { own_time_contradicted, until: now + wait });
+        let local_clock_contradicted = presence.contradicts(self.fleet_time(now));
+        let wait = if local_clock_contradicted { RECOVERY_WAIT } else { RENEWAL_WAIT };
+        self.register_wait = Some(RegisterWait { local_clock_contradicted, until: now + wait });
         self.due = self.schedule.reread_empty(now);
     }
 
-    fn use_own_time(&mut self, change: ClockChange) {
+    fn use_local_clock(&mut self, change: ClockChange) {
         self.register_wait = None;
         self.synchronized = true;
         self.change = Some(change);
@@ -326,12 +326,12 @@
         self.register_wait = None;
         let was_synchronized = self.synchronized;
         let is_first = self.bounds.is_none();
-        // If the time in the register is nearly REGISTER_TTL old by this gateway's own clock, it is more
+        // If the time in the register is nearly REGISTER_TTL old by this gateway's local clock, it is more
         // likely that it has just been written and this clock is ahead.
-        let max_own_offset = (low + REGISTER_TTL).min(high) - MAX_WRITE_DELAY;
-        let own_time_fits = is_first && (low..=max_own_offset).contains(&self.offset);
+        let max_local_offset = (low + REGISTER_TTL).min(high) - MAX_WRITE_DELAY;
+        let local_clock_fits = is_first && (low..=max_local_offset).contains(&self.offset);
         let is_narrow = high - low <= NARROW_WIDTH;
-        self.synchronized |= own_time_fits || is_narrow || self.reads >= MAX_CONVERGING_READS;
+        self.synchronized |= local_clock_fits || is_narrow || self.reads >= MAX_CONVERGING_READS;
         self.bounds = Some(Bounds { low, high });
         let keeps_offset = was_synchronized || (low..=high).contains(&self.offset);
         self.offset = if keeps_offset { self.offset.clamp(low, high) } else { f64::midpoint(low, high) };
--- a/policy/src/fleet_clock/call.rs
+++ b/policy/src/fleet_clock/call.rs
@@ -7,7 +7,7 @@
 /// The time to live of a presence key that a read creates: such a key holds nothing and is not to be kept.
 const READ_TTL: Millis = 1.0;
 /// The register holds a time in steps of [`RESOLUTION`], times this, plus [`TAG`]. The sum of several encoded
-/// times, which exists for a moment when gateways write at the same time, has another tag or is too large.
+/// times, as after concurrent writes of several gateways, has another tag or is too large.
 const TAG_RANGE: f64 = 16.0;
 /// The remainder by which a single encoded time is recognized.
 const TAG: f64 = 5.0;
--- a/policy/src/fleet_clock/change.rs
+++ b/policy/src/fleet_clock/change.rs
@@ -6,15 +6,15 @@
 /// A change of a gateway's fleet clock that the host logs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClockChange {
-    /// No gateway was present within the last minute: this gateway's own clock becomes the fleet's.
+    /// No gateway was present within the last minute: this gateway's local clock becomes the fleet's.
     Initialized,
     /// Gateways were present within the last minute, but none has written the register. This gateway's own
     /// clock becomes the fleet's; it may agree with the time that the fleet had before.
     Resumed,
-    /// As [`Self::Resumed`], but this gateway's own clock contradicts the time that the fleet had before, so
-    /// that earlier counts cannot be found.
+    /// As [`Self::Resumed`], but this gateway's local clock contradicts the time that the fleet had before.
+    /// Earlier counts cannot be found.
     Reset,
-    /// The offset from this gateway's own clock has changed.
+    /// The offset from this gateway's local clock has changed.
     Adjusted {
         /// The change of the offset since the last one that was reported.
         by: Millis,
--- a/policy/src/fleet_clock/presence.rs
+++ b/policy/src/fleet_clock/presence.rs
@@ -19,9 +19,9 @@
 /// number and the slot.
 const GATEWAY_AMOUNT: f64 = 10_000.0;
 
-/// A gateway's own clock that is behind the fleet's by less than this does not contradict it, even if the
+/// A gateway's local clock that is behind the fleet's by less than this does not contradict it, even if the
 /// gateway starts right at the beginning of a slot.
-const OWN_TIME_TOLERANCE: Millis = 1000.0;
+const LOCAL_CLOCK_TOLERANCE: Millis = 1000.0;
 
 /// The number of a slot, counted from where the fleet's time wraps around to 0.
 pub(super) type SlotNumber = u32;
@@ -83,10 +83,10 @@
         if self == Self::Absent { other } else { self }
     }
 
-    /// Returns whether the fleet's time certainly differs from `own_time`.
-    pub(super) fn contradicts(self, own_time: Millis) -> bool {
+    /// Returns whether the fleet's time certainly differs from `local_time`.
+    pub(super) fn contradicts(self, local_time: Millis) -> bool {
         let Self::Present { slot: Some(slot) } = self else { return false };
-        let since_slot = nearest_difference(own_time - f64::from(slot) * SLOT_LENGTH);
-        !(-OWN_TIME_TOLERANCE..=SLOT_LENGTH + PRESENCE_TTL).contains(&since_slot)
+        let since_slot = nearest_difference(local_time - f64::from(slot) * SLOT_LENGTH);
+        !(-LOCAL_CLOCK_TOLERANCE..=SLOT_LENGTH + PRESENCE_TTL).contains(&since_slot)
     }
 }
--- a/policy/src/fleet_clock/schedule.rs
+++ b/policy/src/fleet_clock/schedule.rs
@@ -8,7 +8,7 @@
 const EXPECTED_READERS: f64 = 2.0;
 /// The reads after an expiry are spread over this time.
 const READ_JITTER: Millis = 150.0;
-/// A gateway whose own time differs reads the register at this interval until its bounds are narrow: just
+/// A gateway whose local time differs reads the register at this interval until its bounds are narrow: just
 /// often enough to observe the expiry of the register.
 pub(super) const CONVERGING_INTERVAL: Millis = 50.0;
 /// The mean delay after a first failure while the time is not known, and after a read that found several
@@ -24,7 +24,7 @@
 /// The first calls of a fleet that starts all at once, and its retries, are spread over this time for each
 /// gateway, as all of them go to one key.
 const SPREAD_PER_GATEWAY: Millis = 10.0;
-/// In a fleet of more gateways than this, counter keys are derived from the gateway's own clock until the
+/// In a fleet of more gateways than this, counter keys are derived from the gateway's local clock until the
 /// first read is answered. In a smaller one the reply is awaited, as calls are not spread and it comes soon.
 const SMALL_FLEET_SIZE: f64 = 16.0;
 /// In a fleet of more gateways than this, a gateway that writes the register adds to the presence key only
--- a/policy/src/quota/counter_call.rs
+++ b/policy/src/quota/counter_call.rs
@@ -59,7 +59,7 @@
 /// include what other gateways used shortly before it began.
 pub(super) fn needs_previous_total(tenant: &Tenant, share: QuotaShare<'_>) -> bool {
     let lease = &tenant.lease;
-    !lease.has_reading() && !share.is_low_quota() && !lease.knows_total_before(lease.window())
+    !lease.has_reading() && !share.is_low_quota() && !lease.has_total_preceding(lease.window())
 }
 
 /// Returns the total units of the waiting requests, excluding clients' retries.
--- a/policy/src/quota/counter_calls.rs
+++ b/policy/src/quota/counter_calls.rs
@@ -87,8 +87,9 @@
         self.call_ratio
     }
 
-    /// Returns whether the counter keeps up with all calls, so that it can also answer calls that only read.
-    pub(crate) fn keeps_up(&self) -> bool {
+    /// Returns whether all wanted calls are made: the counter keeps up, so that it can also answer calls that
+    /// only read.
+    pub(crate) fn is_unthrottled(&self) -> bool {
         self.call_ratio >= 1.0
     }
 
--- a/policy/src/quota/gate.rs
+++ b/policy/src/quota/gate.rs
@@ -64,8 +64,8 @@
 
     /// Records that earlier counts can no longer be read: quota beyond the leased units is assumed to be
     /// spent.
-    pub(crate) fn lose_counts(&mut self, now: Millis) {
-        self.clock.lose_counts(now);
+    pub(crate) fn on_counts_lost(&mut self, now: Millis) {
+        self.clock.record_counts_lost(now);
         for tenant in self.tenants.values_mut() {
             tenant.assume_spent(0.0, &self.plans[tenant.plan()]);
         }
@@ -269,7 +269,7 @@
         let share = tenant.share(&self.plans);
         tenant.lease.advance(now, share);
         let joined = self.clock.joined_within(now.local, share.refill_period());
-        let read = (joined && self.calls.keeps_up() && needs_previous_total(tenant, share))
+        let read = (joined && self.calls.is_unthrottled() && needs_previous_total(tenant, share))
             .then(|| CounterCall::read_previous(tenant, share));
         let increment = CounterCall::increment(tenant, share, self.draining, self.calls.call_ratio(), now);
         for call in read.into_iter().chain([increment]) {
--- a/policy/src/quota/gate/counter_reply.rs
+++ b/policy/src/quota/gate/counter_reply.rs
@@ -1,11 +1,11 @@
 //! Handles counter replies and failed counter calls: updates the lease or the admit ratio of the tenant.
 
-use super::super::ReplyOutcome;
-use super::super::counter_calls::{CallInFlight, CallKind};
-use super::super::lease::IncrementReply;
-use super::super::low_quota::LowQuotaReply;
-use super::super::window::Now;
 use super::{MIN_REPORTED_UNITS, QuotaGate};
+use crate::quota::ReplyOutcome;
+use crate::quota::counter_calls::{CallInFlight, CallKind};
+use crate::quota::lease::IncrementReply;
+use crate::quota::low_quota::LowQuotaReply;
+use crate::quota::window::Now;
 use crate::{Action, CounterResult, Millis, Name};
 
 impl QuotaGate {
--- a/policy/src/quota/lease.rs
+++ b/policy/src/quota/lease.rs
@@ -196,8 +196,8 @@
         self.remaining += leased;
     }
 
-    /// Returns whether the total of the window before `window` is known.
-    pub(super) fn knows_total_before(&self, window: WindowNumber) -> bool {
+    /// Returns whether the total of the window that precedes `window` is known.
+    pub(super) fn has_total_preceding(&self, window: WindowNumber) -> bool {
         self.previous_total.is_some_and(|previous| previous.window == window.wrapping_sub(1))
     }
 
--- a/policy/src/quota/window.rs
+++ b/policy/src/quota/window.rs
@@ -5,7 +5,7 @@
 use crate::random::WEYL_STEP;
 use crate::{FleetTime, Millis};
 
-/// The number of a window, counted from the start of the fleet clock's cycle.
+/// The number of a window, counted from where the fleet's time wraps around to 0.
 pub(crate) type WindowNumber = u64;
 
 /// The number of distinct offsets by which the windows of different tenants are staggered.
@@ -51,7 +51,7 @@
     }
 
     /// Records that the fleet's counts so far can no longer be read.
-    pub(crate) fn lose_counts(&mut self, local: Millis) {
+    pub(crate) fn record_counts_lost(&mut self, local: Millis) {
         self.counts_lost_at = Some(local);
     }
 
--- a/policy/src/slow_start.rs
+++ b/policy/src/slow_start.rs
@@ -42,7 +42,7 @@
 pub(crate) struct EndpointStart {
     /// By the clock of the endpoint list. `None` if unknown: the endpoint then counts as at full capacity.
     pub(crate) started_at: Option<Millis>,
-    /// When this gateway first learned of the start, by its own clock.
+    /// When this gateway first learned of the start, by its local clock.
     pub(crate) learned_at: Millis,
 }
 
@@ -61,8 +61,8 @@
     /// the lesser of the ages by this gateway's clock and by the discovery clock, where the former is at
     /// least the time since this gateway learned of the start.
     fn min_age(&self, started_at: Millis, now: Millis, clock: &DiscoveryClock) -> Millis {
-        let age_by_own_clock = (now - started_at).max(now - self.learned_at);
-        age_by_own_clock.min(clock.lower_bound(now) - started_at)
+        let age_by_local_clock = (now - started_at).max(now - self.learned_at);
+        age_by_local_clock.min(clock.lower_bound(now) - started_at)
     }
 }
 
